--- a/bench/model/model-policy.ts
+++ b/bench/model/model-policy.ts
@@ -15,7 +15,7 @@
 
 	/** After this a job with waiting tasks is given up. */
 	giveUpAt(job: RunningJob): number {
-		return job.receivedAt + job.job.patienceMilliseconds;
+		return job.receivedAt + job.job.callerTimeoutMilliseconds;
 	}
 
 	/** Lower comes first. */
--- a/bench/model/policies/worth-for-work.ts
+++ b/bench/model/policies/worth-for-work.ts
@@ -12,7 +12,7 @@
 
 	override rank(job: RunningJob, _now: number): number {
 		const kind = this.classes.find(({name}) => name === job.job.route.queue)!;
-		const work = job.slots.length * job.expectedMilliseconds;
+		const work = job.tasks.length * job.expectedMilliseconds;
 		const worth = kind.worth * (0.3 + (0.7 * work / (kind.meanTasks * kind.taskMilliseconds)));
 		return -worth / (job.waiting.length * job.expectedMilliseconds);
 	}
--- a/bench/model/policies/worth-within-reach.ts
+++ b/bench/model/policies/worth-within-reach.ts
@@ -13,6 +13,6 @@
 	}
 
 	override giveUpAt(job: RunningJob): number {
-		return job.giveUpAt;
+		return job.expiresAt;
 	}
 }
--- a/bench/model/pool-model.ts
+++ b/bench/model/pool-model.ts
@@ -5,7 +5,7 @@
 import {Resources} from '../../src/base/resources.js';
 import type {ServiceName} from '../../src/base/service-name.js';
 import {RunningJob} from '../../src/features/dispatch/running-job.js';
-import type {TaskSlot} from '../../src/features/dispatch/task-slot.js';
+import type {TaskState} from '../../src/features/dispatch/task-state.js';
 import type {ModelJob} from './model-job.js';
 import type {ModelOutcome} from './model-outcome.js';
 import type {ModelPolicy} from './model-policy.js';
@@ -22,7 +22,7 @@
 const place = 'place' as MemberId;
 
 type Live = {readonly model: ModelJob; readonly running: RunningJob; nextTask: number};
-type End = {readonly live: Live; readonly slot: TaskSlot};
+type End = {readonly live: Live; readonly slot: TaskState};
 
 /** One queue over all places: how a pool would do whose entries knew of each other at once. */
 export class PoolModel {
@@ -68,7 +68,7 @@
 					label: undefined, nearLabel: undefined, farFactor: 1, mostOnTarget: undefined,
 				},
 			},
-			patienceMilliseconds,
+			callerTimeoutMilliseconds: patienceMilliseconds,
 		}, {receivedAt: now, settle: nobodyWaits}, kind.taskMilliseconds);
 		const live: Live = {model, running, nextTask: 0};
 		if (this.policy.refusesAtArrival(running, {slots: this.slots, waitingWorkMilliseconds: this.#waitingWork()})) {
@@ -106,10 +106,10 @@
 		}
 	}
 
-	#start(live: Live, slot: TaskSlot, now: number): void {
+	#start(live: Live, slot: TaskState, now: number): void {
 		this.#free -= 1;
 		slot.owner = place;
-		live.running.orderedStarts += 1;
+		live.running.possibleStarts += 1;
 		const endsAt = now + Math.round(live.model.runMilliseconds[live.nextTask]! + travelMilliseconds);
 		live.nextTask += 1;
 		this.#ends.set(endsAt, [...this.#ends.get(endsAt) ?? [], {live, slot}]);
@@ -143,7 +143,7 @@
 	}
 
 	#conclude(live: Live, kind: ModelOutcome['kind'], now: number): void {
-		this.#free += live.running.slots.filter(slot => slot.owner !== undefined).length;
+		this.#free += live.running.tasks.filter(slot => slot.owner !== undefined).length;
 		this.#live.delete(live);
 		this.outcomes.push({
 			job: live.model,
--- a/src/base/doubt-cause.ts
+++ b/src/base/uncertainty-cause.ts
@@ -1,7 +1,7 @@
 /** Why it isn't known whether a request ran. */
 
 /** Each cause has its row in docs/INTERFACES.md. */
-export type DoubtCause =
+export type UncertaintyCause =
 	| 'connectionLost'
 	| 'taskTimeout'
 	| 'answerUnusable'
--- a/src/base/verdict.ts
+++ b/src/base/verdict.ts
@@ -1,5 +1,5 @@
 /** What is known about a request's fate; the one type that every layer returns. */
-import type {DoubtCause} from './doubt-cause.js';
+import type {UncertaintyCause} from './uncertainty-cause.js';
 import type {RefusalCause} from './refusal-cause.js';
 
 /**
@@ -15,4 +15,4 @@
 		/** When trying again may help, in milliseconds; absent where it won't. */
 		readonly retryAfterMilliseconds?: number;
 	}
-	| {readonly kind: 'mayHaveRun'; readonly cause: DoubtCause; readonly detail: string};
+	| {readonly kind: 'mayHaveRun'; readonly cause: UncertaintyCause; readonly detail: string};
--- a/src/entries/daemon/daemon.ts
+++ b/src/entries/daemon/daemon.ts
@@ -1,7 +1,7 @@
 /** The life of an entry daemon. */
 import process from 'node:process';
 import {wait} from '../../base/wait.js';
-import {intakeKey} from '../../features/intake/intake-key.js';
+import {apiServerKey} from '../../features/intake/api-server-key.js';
 import {readinessKey} from '../../features/intake/readiness-key.js';
 import {statusReportKey} from '../../features/intake/status-report-key.js';
 import {jobServiceKey} from '../../features/jobs/job-service-key.js';
@@ -26,7 +26,7 @@
 	static async start(settings: Settings): Promise<Daemon> {
 		const wired = await wireDaemon(settings);
 		const {services, network} = wired;
-		const httpPort = await services.get(intakeKey).listen();
+		const httpPort = await services.get(apiServerKey).listen();
 		const daemon = new Daemon(settings, wired, httpPort);
 		daemon.#report();
 		services.get(runtimeKeys.journal).record('started', {
@@ -56,7 +56,7 @@
 		journal.record('draining', {inFlight: jobs.inFlight});
 		await wait(clock, readinessLeadMilliseconds);
 		services.get(zonePlacementKey).resign();
-		const intakeClosed = services.get(intakeKey).close();
+		const intakeClosed = services.get(apiServerKey).close();
 		await Promise.race([Promise.all([jobs.drain(), intakeClosed]), wait(clock, this.settings.entry.drainMilliseconds)]);
 		const unfinished = jobs.inFlight;
 		const registry = services.get(submissionRegistryKey);
--- a/src/entries/edge/edge-daemon.ts
+++ b/src/entries/edge/edge-daemon.ts
@@ -119,7 +119,7 @@
 		}));
 		own.add(pauses.onDidPause(({milliseconds}) => {
 			// A route may have been added meanwhile: without a new answer by the store its absence can't be told.
-			this.#routing.distrust();
+			this.#routing.invalidate();
 			journal.record('processPaused', {milliseconds: Math.round(milliseconds)});
 		}));
 		this.#metricsServer = own.add(new StatusServer(() => {
@@ -165,7 +165,7 @@
 		}
 
 		this.#front.close();
-		dispatcher.giveUp();
+		dispatcher.endAllJobs();
 		await wait(clock, drainCheckMilliseconds);
 		journal.record('edgeStopped', {inFlight: dispatcher.inFlight});
 		this.#store.dispose();
--- a/src/entries/edge/pooled-entry.ts
+++ b/src/entries/edge/pooled-entry.ts
@@ -7,8 +7,8 @@
 import {Random} from '../../base/random.js';
 import {repeat} from '../../base/repeat.js';
 import {Dispatcher} from '../../features/dispatch/dispatcher.js';
-import {PatienceBook} from '../../features/dispatch/patience-book.js';
-import {ReachableObjective} from '../../features/dispatch/reachable-objective.js';
+import {CallerTimeouts} from '../../features/dispatch/caller-timeouts.js';
+import {LeastLaxity} from '../../features/dispatch/least-laxity.js';
 import {Executor} from '../../features/execution/executor.js';
 import {LossBook} from '../../features/execution/loss-book.js';
 import {Ownership} from '../../features/ownership/ownership.js';
@@ -54,7 +54,7 @@
 	readonly ownership: Ownership;
 	readonly pool: Pool;
 	readonly dispatcher: Dispatcher;
-	readonly patience = new PatienceBook();
+	readonly patience = new CallerTimeouts();
 	readonly pauses: PauseWatch;
 	readonly #store = new DisposableStore();
 	readonly #losses: LossBook;
@@ -84,7 +84,7 @@
 			zone,
 			executor: this.executor,
 			pool: this.pool,
-			order: new ReachableObjective(),
+			order: new LeastLaxity(),
 			leaseMilliseconds,
 			runTimes: new MeanRunTimes(),
 			patience: this.patience,
@@ -137,7 +137,7 @@
 			this.pool.tellRoom();
 		}));
 		own.add(this.ownership.onDidHandOver(handovers => {
-			this.dispatcher.noteHandovers(handovers, this.pool.self);
+			this.dispatcher.recordHandovers(handovers, this.pool.self);
 			const requesters = new Set(handovers.flatMap(({runs}) => runs.map(({requester}) => requester)));
 			this.pool.broadcast({kind: 'handover', handovers, requesters: this.pool.introduce(requesters)});
 		}));
@@ -157,7 +157,7 @@
 			} else if (message.kind === 'loss') {
 				this.#losses.take(message.loss);
 			} else if (message.kind === 'routing') {
-				routing.offer(message.configuration, 'peer');
+				routing.update(message.configuration, 'peer');
 			}
 		}));
 	}
@@ -172,7 +172,7 @@
 
 	#state(): EntryState {
 		return {
-			isLeaving: this.#isLeaving, routingVersion: this.parts.routing.version, wanted: this.dispatcher.jobs.wanted, room: this.executor.room,
+			isLeaving: this.#isLeaving, routingVersion: this.parts.routing.version, wanted: this.dispatcher.jobs.minimumNeeds, room: this.executor.room,
 		};
 	}
 
--- a/src/features/dispatch/open-shares.ts
+++ b/src/features/dispatch/available-remote-targets.ts
@@ -1,6 +1,6 @@
 /** Which targets of other entries are worth looking at. */
 import type {Pool} from '../pool/pool.js';
-import type {OpenShare} from './open-share.js';
+import type {RemoteTarget} from './remote-target.js';
 
 /**
  * Targets that could take a task of so much processor. Found once for all waiting tasks: in an overload nearly every target is
@@ -8,8 +8,8 @@
  * entry that isn't fresh may be gone: what is sent there comes back only when it's taken as lost, which is too late for
  * most tasks.
  */
-export function openShares(pool: Pool, leastCpuMillis: number): OpenShare[] {
-	const open: OpenShare[] = [];
+export function availableRemoteTargets(pool: Pool, leastCpuMillis: number): RemoteTarget[] {
+	const open: RemoteTarget[] = [];
 	for (const member of pool.members) {
 		if (!pool.isFresh(member)) {
 			continue;
@@ -17,7 +17,7 @@
 
 		for (const share of member.room) {
 			if (share.room.cpuMillis >= leastCpuMillis) {
-				open.push({member, share});
+				open.push({member, target: share});
 			}
 		}
 	}
--- a/src/features/dispatch/best-effort-job.ts
+++ b/src/features/dispatch/best-effort-job.ts
@@ -11,5 +11,5 @@
 	/** One step of equal tasks. */
 	readonly shape: TaskShape;
 	/** How long the submitter waits for an answer, from now. */
-	readonly patienceMilliseconds: number;
+	readonly callerTimeoutMilliseconds: number;
 };
--- a/src/features/dispatch/choose-share.ts
+++ b/src/features/dispatch/choose-remote-target.ts
@@ -3,7 +3,7 @@
 import type {Random} from '../../base/random.js';
 import {isPlaceFor} from '../execution/is-place-for.js';
 import type {RunRequest} from '../execution/run-request.js';
-import type {OpenShare} from './open-share.js';
+import type {RemoteTarget} from './remote-target.js';
 
 /** With fewer choices in the own zone, entries that see the same picture send to the same target too often. */
 const enoughChoices = 8;
@@ -13,14 +13,14 @@
  * target, and all but one be refused. Where the own zone offers enough of them it's one of those: within a large fleet that
  * keeps payloads, and the heartbeats of entries that run something for each other, from crossing between zones.
  */
-export function chooseShare(open: readonly OpenShare[], request: RunRequest, zone: AvailabilityZone, random: Random): OpenShare | undefined {
-	const fitting = open.filter(({share}) => suits(share, request));
+export function chooseRemoteTarget(open: readonly RemoteTarget[], request: RunRequest, zone: AvailabilityZone, random: Random): RemoteTarget | undefined {
+	const fitting = open.filter(({target: share}) => suits(share, request));
 	const near = fitting.filter(({member}) => member.member.zone === zone);
 	const choices = near.length >= enoughChoices ? near : fitting;
 	return choices.length === 0 ? undefined : choices[random.below(choices.length)];
 }
 
-function suits(share: OpenShare['share'], request: RunRequest): boolean {
+function suits(share: RemoteTarget['target'], request: RunRequest): boolean {
 	return share.service === request.service
 		&& isPlaceFor(request, share.labels)
 		&& request.need.fitsInto(share.room);
--- a/src/features/dispatch/dispatcher.ts
+++ b/src/features/dispatch/dispatcher.ts
@@ -17,14 +17,14 @@
 import type {Pool} from '../pool/pool.js';
 import type {PoolMessage} from '../pool/pool-message.js';
 import type {BestEffortJob} from './best-effort-job.js';
-import {doubt} from './doubt.js';
+import {uncertainVerdict} from './uncertain-verdict.js';
 import {JobAdmission} from './job-admission.js';
-import {JobChecks} from './job-checks.js';
-import {JobConclusion} from './job-conclusion.js';
+import {ExpiryTimer} from './expiry-timer.js';
+import {JobCompletion} from './job-completion.js';
 import type {JobOutcome} from './job-outcome.js';
 import {JobTable} from './job-table.js';
-import {OwnerOrders} from './owner-orders.js';
-import type {PatienceBook} from './patience-book.js';
+import {OwnerCommands} from './owner-commands.js';
+import type {CallerTimeouts} from './caller-timeouts.js';
 import type {QueueOrder} from './queue-order.js';
 import {RunResults} from './run-results.js';
 import {TaskPlacer} from './task-placer.js';
@@ -39,7 +39,7 @@
 	/** The longest lease that a target grants. */
 	readonly leaseMilliseconds: number;
 	readonly runTimes: MeanRunTimes;
-	readonly patience: PatienceBook;
+	readonly patience: CallerTimeouts;
 	readonly losses: LossBook;
 	readonly pauses: PauseWatch;
 	readonly random: Random;
@@ -55,9 +55,9 @@
 	readonly #jobs = new JobTable();
 	readonly #results: RunResults;
 	readonly #placer: TaskPlacer;
-	readonly #checks: JobChecks;
-	readonly #owners: OwnerOrders;
-	readonly #conclusion: JobConclusion;
+	readonly #checks: ExpiryTimer;
+	readonly #owners: OwnerCommands;
+	readonly #conclusion: JobCompletion;
 	readonly #admission: JobAdmission;
 	readonly #store = new DisposableStore();
 	#isWaiting = false;
@@ -65,15 +65,15 @@
 
 	constructor(private readonly parts: DispatcherParts) {
 		this.#placer = new TaskPlacer(parts);
-		this.#checks = this.#store.add(new JobChecks(this.#jobs, parts.clock, () => {
+		this.#checks = this.#store.add(new ExpiryTimer(this.#jobs, parts.clock, () => {
 			this.#check();
 		}));
-		this.#owners = new OwnerOrders({...parts, jobs: this.#jobs});
+		this.#owners = new OwnerCommands({...parts, jobs: this.#jobs});
 		const placeSoon = () => {
 			this.#pumpSoon();
 		};
 
-		this.#conclusion = new JobConclusion({
+		this.#conclusion = new JobCompletion({
 			...parts, jobs: this.#jobs, owners: this.#owners, placeSoon,
 		});
 		this.#admission = new JobAdmission({
@@ -84,7 +84,7 @@
 	}
 
 	/** What waits for room, for the entries that have it; and who runs something for this one. */
-	get jobs(): Pick<JobTable, 'wanted' | 'owners' | 'waitingTasks' | 'waitingJobsOf'> {
+	get jobs(): Pick<JobTable, 'minimumNeeds' | 'owners' | 'waitingTasks' | 'waitingJobsOf'> {
 		return this.#jobs;
 	}
 
@@ -100,7 +100,7 @@
 
 		return new Promise(resolve => {
 			const now = this.parts.clock.now();
-			const ageMilliseconds = this.parts.patience.ageOf(job.route.queue, job.patienceMilliseconds, now);
+			const ageMilliseconds = this.parts.patience.estimateAge(job.route.queue, job.callerTimeoutMilliseconds, now);
 			const submission = {receivedAt: now, ageMilliseconds, settle: resolve};
 			this.#admission.admit(job, submission, token);
 		});
@@ -113,7 +113,7 @@
 			return false;
 		}
 
-		this.#conclusion.end(running, doubt('stopped', 'cancelled by its submitter'));
+		this.#conclusion.end(running, uncertainVerdict('stopped', 'cancelled by its submitter'));
 		return true;
 	}
 
@@ -122,12 +122,12 @@
 	}
 
 	/** Runs changed hands: their next owner has to tell, or they have ended with their lease. */
-	noteHandovers(handovers: readonly Handover[], former: MemberId): void {
-		this.#results.noteHandovers(handovers, former);
+	recordHandovers(handovers: readonly Handover[], former: MemberId): void {
+		this.#results.recordHandovers(handovers, former);
 	}
 
 	/** Answers every job as it stands; the process is about to end. */
-	giveUp(): void {
+	endAllJobs(): void {
 		this.#conclusion.endAll('draining', 'the entry ends');
 	}
 
@@ -147,7 +147,7 @@
 					this.#pumpSoon();
 				},
 				onDidLose: (job, slot) => {
-					this.#conclusion.endIfBarred(job, slot);
+					this.#conclusion.endIfBlocked(job, slot);
 				},
 				onDidFindUnwanted: (task, attempt, owner) => {
 					this.#owners.stop({task, attempt, owner}, 'nobody waits for it');
@@ -160,7 +160,7 @@
 		const {executor, pool, losses, journal} = this.parts;
 		this.#store.add(executor.onDidReport(({requester, task, attempt, outcome}) => {
 			if (requester === pool.self) {
-				this.#results.take(task, attempt, outcome);
+				this.#results.recordOutcome(task, attempt, outcome);
 			}
 		}));
 		this.#store.add(pool.onDidReceive(({from, message}) => {
@@ -179,13 +179,13 @@
 			this.#conclusion.endAll('notReady', `the entry was out of touch: ${cause}`);
 		}));
 		this.#store.add(losses.onDidBar(task => {
-			const found = this.#jobs.named(task);
+			const found = this.#jobs.findTask(task);
 			if (found !== undefined) {
-				this.#conclusion.endIfBarred(found.job, found.slot);
+				this.#conclusion.endIfBlocked(found.job, found.slot);
 			}
 		}));
 		this.#store.add(pool.onDidReconnect(member => {
-			this.#owners.repeat(member);
+			this.#owners.resend(member);
 		}));
 		this.#store.add(pool.onDidChangeRoom(() => {
 			this.#pumpSoon();
@@ -235,11 +235,11 @@
 
 	#receive(from: MemberId, message: PoolMessage): void {
 		if (message.kind === 'report') {
-			this.#results.takeReport(from, message);
+			this.#results.recordReport(from, message);
 		}
 
 		if (message.kind === 'handover') {
-			this.#results.noteHandovers(message.handovers, from);
+			this.#results.recordHandovers(message.handovers, from);
 		}
 
 		if (message.kind === 'adopted' && this.#results.adopt(message.task, message.attempt, from)) {
@@ -251,7 +251,7 @@
 		const now = this.parts.clock.now();
 		for (const job of this.#jobs) {
 			this.#results.endUnadopted(job, now);
-			this.#conclusion.endIfPast(job, now);
+			this.#conclusion.endIfExpired(job, now);
 		}
 	}
 }
--- a/src/features/dispatch/job-checks.ts
+++ b/src/features/dispatch/expiry-timer.ts
@@ -9,7 +9,7 @@
 const longestCheckMilliseconds = 200;
 
 /** Calls back while there are jobs, when the first of them falls due, which may be sooner than it was. */
-export class JobChecks implements Disposable {
+export class ExpiryTimer implements Disposable {
 	#timer: Disposable | undefined;
 	#due = 0;
 
@@ -41,7 +41,7 @@
 		const now = this.clock.now();
 		let until = longestCheckMilliseconds;
 		for (const job of this.jobs) {
-			until = Math.min(until, job.giveUpAt - now);
+			until = Math.min(until, job.expiresAt - now);
 		}
 
 		return Math.max(checkMilliseconds, until);
--- a/src/features/dispatch/job-admission.ts
+++ b/src/features/dispatch/job-admission.ts
@@ -6,8 +6,8 @@
 import type {MeanRunTimes} from '../placement/mean-run-times.js';
 import type {Pool} from '../pool/pool.js';
 import type {BestEffortJob} from './best-effort-job.js';
-import {doubt} from './doubt.js';
-import type {JobConclusion} from './job-conclusion.js';
+import {uncertainVerdict} from './uncertain-verdict.js';
+import type {JobCompletion} from './job-completion.js';
 import type {JobTable} from './job-table.js';
 import {RunningJob} from './running-job.js';
 
@@ -16,7 +16,7 @@
 /** What the admission works with. */
 type JobAdmissionParts = {
 	readonly jobs: JobTable;
-	readonly conclusion: JobConclusion;
+	readonly conclusion: JobCompletion;
 	readonly executor: Executor;
 	readonly pool: Pool;
 	readonly runTimes: MeanRunTimes;
@@ -46,9 +46,9 @@
 	#accept(job: BestEffortJob, submission: Submission, token: CancellationToken): void {
 		const {runTimes, journal} = this.parts;
 		const expected = runTimes.mean(job.route.queue, job.shape.declaredMilliseconds);
-		const former = this.parts.jobs.takeFormer(job.id);
+		const former = this.parts.jobs.takeEnded(job.id);
 		const running = new RunningJob(job, submission, Math.max(expected, job.shape.declaredMilliseconds), former);
-		running.isBeforeRoom = !this.#seesRoom();
+		running.isBeforeCapacityKnown = !this.#seesRoom();
 		this.parts.jobs.add(running);
 		journal.record('jobAccepted', {
 			job: job.id,
@@ -56,10 +56,10 @@
 			tasks: job.shape.count,
 			expectedMilliseconds: Math.round(running.expectedMilliseconds),
 			objectiveMilliseconds: Math.round(running.objectiveMilliseconds),
-			patienceMilliseconds: job.patienceMilliseconds,
+			patienceMilliseconds: job.callerTimeoutMilliseconds,
 			ageMilliseconds: Math.round(submission.ageMilliseconds ?? 0),
 			isResubmitted: former !== undefined,
-			isBeforeRoom: running.isBeforeRoom,
+			isBeforeRoom: running.isBeforeCapacityKnown,
 		});
 		this.#watchSubmitter(running, token);
 		if (running.isComplete) {
@@ -68,20 +68,20 @@
 		}
 
 		this.#takeLosses(running);
-		if (running.isOver) {
+		if (running.isEnded) {
 			return;
 		}
 
 		// What can be of no use any more is told so at once, and takes no room from those that can.
-		this.parts.conclusion.endIfPast(running, submission.receivedAt);
+		this.parts.conclusion.endIfExpired(running, submission.receivedAt);
 		this.parts.placeSoon();
 	}
 
 	/** The runs go on: stopping and beginning them again would run each task twice at a time. */
 	#rejoin(running: RunningJob, submission: Submission, token: CancellationToken): void {
-		running.submission.settle(doubt('stopped', 'submitted again'));
+		running.submission.settle(uncertainVerdict('stopped', 'submitted again'));
 		running.resubmit(submission);
-		this.parts.journal.record('jobRejoined', {job: running.job.id, startedTasks: running.orderedStarts});
+		this.parts.journal.record('jobRejoined', {job: running.job.id, startedTasks: running.possibleStarts});
 		this.#watchSubmitter(running, token);
 	}
 
@@ -90,7 +90,7 @@
 		const {submission} = running;
 		token.onDidRequestCancellation(() => {
 			if (running.submission === submission) {
-				this.parts.conclusion.end(running, doubt('stopped', 'the submitter is gone'));
+				this.parts.conclusion.end(running, uncertainVerdict('stopped', 'the submitter is gone'));
 			}
 		});
 	}
@@ -113,10 +113,10 @@
 			return;
 		}
 
-		for (const slot of job.slots) {
+		for (const slot of job.tasks) {
 			if (losses.conditionOf(slot.id) !== 'sound') {
-				job.orderedStarts = Math.max(1, job.orderedStarts);
-				this.parts.conclusion.endIfBarred(job, slot);
+				job.possibleStarts = Math.max(1, job.possibleStarts);
+				this.parts.conclusion.endIfBlocked(job, slot);
 			}
 		}
 	}
--- a/src/features/dispatch/job-table.ts
+++ b/src/features/dispatch/job-table.ts
@@ -4,14 +4,14 @@
 import type {MemberId} from '../../base/member-id.js';
 import type {ProfileName} from '../../base/profile-name.js';
 import type {WantedRoom} from '../execution/wanted-room.js';
-import {FormerSubmissions} from './former-submissions.js';
+import {EndedJobs} from './ended-jobs.js';
 import type {RunningJob} from './running-job.js';
-import type {TaskSlot} from './task-slot.js';
+import type {TaskState} from './task-state.js';
 
 /** Finds jobs and tasks by name, and sums up what they wait for. */
 export class JobTable implements Iterable<RunningJob> {
 	readonly #jobs = new Map<JobId, RunningJob>();
-	readonly #former = new FormerSubmissions();
+	readonly #former = new EndedJobs();
 
 	get size(): number {
 		return this.#jobs.size;
@@ -27,7 +27,7 @@
 	}
 
 	/** The least that a waiting task of each service needs; empty where none waits. */
-	get wanted(): readonly WantedRoom[] {
+	get minimumNeeds(): readonly WantedRoom[] {
 		const least = new Map<string, WantedRoom>();
 		for (const running of this.#jobs.values()) {
 			const {service} = running.job.route;
@@ -43,7 +43,7 @@
 
 	/** Entries that run tasks of this one's jobs. */
 	* owners(): Iterable<MemberId> {
-		for (const {slots} of this.#jobs.values()) {
+		for (const {tasks: slots} of this.#jobs.values()) {
 			for (const {owner} of slots) {
 				if (owner !== undefined) {
 					yield owner;
@@ -68,21 +68,21 @@
 	remove(running: RunningJob, now: number): void {
 		this.#jobs.delete(running.job.id);
 		if (running.mayHaveRun) {
-			this.#former.keep(running.job.id, running.slots, now);
+			this.#former.add(running.job.id, running.tasks, now);
 		}
 	}
 
 	/** The tasks of a job that was over here and is submitted again. */
-	takeFormer(id: JobId): readonly TaskSlot[] | undefined {
+	takeEnded(id: JobId): readonly TaskState[] | undefined {
 		return this.#former.take(id);
 	}
 
 	/** Tasks of jobs that are over which an entry may still run. */
-	formerRunsOn(owner: MemberId): readonly TaskSlot[] {
-		return this.#former.runsOn(owner);
+	endedTasksOwnedBy(owner: MemberId): readonly TaskState[] {
+		return this.#former.tasksOwnedBy(owner);
 	}
 
-	formerNamed(task: string): TaskSlot | undefined {
+	findEndedTask(task: string): TaskState | undefined {
 		return this.#former.find(jobOfTask(task), task);
 	}
 
@@ -91,9 +91,9 @@
 		return [...this.#jobs.values()].filter(({job, mayHaveRun}) => job.route.queue === queue && !mayHaveRun).length;
 	}
 
-	named(task: string): {readonly job: RunningJob; readonly slot: TaskSlot} | undefined {
+	findTask(task: string): {readonly job: RunningJob; readonly slot: TaskState} | undefined {
 		const job = this.#jobs.get(jobOfTask(task));
-		const slot = job?.slots.find(candidate => candidate.id === task);
+		const slot = job?.tasks.find(candidate => candidate.id === task);
 		return job === undefined || slot === undefined ? undefined : {job, slot};
 	}
 }
--- a/src/features/dispatch/reachable-objective.ts
+++ b/src/features/dispatch/least-laxity.ts
@@ -19,7 +19,7 @@
  * First the rest of jobs that have begun and can keep their objective: their running tasks are of no use without it. Then
  * jobs that haven't begun, the nearest objective first, with regard to their queues' priority. Jobs that have missed it come last, unless they are nearly done.
  */
-export class ReachableObjective extends QueueOrder {
+export class LeastLaxity extends QueueOrder {
 	override rank(job: RunningJob, now: number): number {
 		const latestStart = job.objectiveAt - job.expectedMilliseconds;
 		if (latestStart >= now) {
@@ -27,6 +27,6 @@
 			return job.mayHaveRun ? due - aheadMilliseconds : due;
 		}
 
-		return job.waiting.length <= nearlyDoneShare * job.slots.length ? latestStart : latestStart + aheadMilliseconds;
+		return job.waiting.length <= nearlyDoneShare * job.tasks.length ? latestStart : latestStart + aheadMilliseconds;
 	}
 }
--- a/src/features/dispatch/owner-orders.ts
+++ b/src/features/dispatch/owner-commands.ts
@@ -9,15 +9,15 @@
 type OwnedRun = {readonly task: TaskId; readonly attempt: number; readonly owner: MemberId};
 
 /** What the orders work with. */
-type OwnerOrdersParts = {
+type OwnerCommandsDependencies = {
 	readonly jobs: JobTable;
 	readonly executor: Executor;
 	readonly pool: Pool;
 };
 
 /** Stops runs on the targets of this entry and of others, and says again what a lost connection may have swallowed. */
-export class OwnerOrders {
-	constructor(private readonly parts: OwnerOrdersParts) {}
+export class OwnerCommands {
+	constructor(private readonly parts: OwnerCommandsDependencies) {}
 
 	/** Has a run ended by whoever owns its target. */
 	stop({task, attempt, owner}: OwnedRun, cause: string): void {
@@ -32,14 +32,14 @@
 	}
 
 	/** What was sent on the former connection may be lost: requests, and stops of jobs that are over. */
-	repeat(member: MemberId): void {
+	resend(member: MemberId): void {
 		const {jobs, pool} = this.parts;
-		for (const {id, attempt} of jobs.formerRunsOn(member)) {
+		for (const {id, attempt} of jobs.endedTasksOwnedBy(member)) {
 			this.stop({task: id, attempt, owner: member}, 'its job is over');
 		}
 
 		for (const job of jobs) {
-			for (const slot of job.slots) {
+			for (const slot of job.tasks) {
 				if (slot.owner === member) {
 					pool.send(member, {kind: 'run', request: requestOf(job, slot)});
 				}
--- a/src/features/dispatch/open-share.ts
+++ b/src/features/dispatch/remote-target.ts
@@ -2,7 +2,7 @@
 import type {PoolMember} from '../pool/pool-member.js';
 
 /** `share` is the target's room as the entry told it last, less what was sent there since. */
-export type OpenShare = {
+export type RemoteTarget = {
 	readonly member: PoolMember;
-	readonly share: PoolMember['room'][number];
+	readonly target: PoolMember['room'][number];
 };
--- a/src/features/dispatch/request-of.ts
+++ b/src/features/dispatch/request-of.ts
@@ -1,10 +1,10 @@
 /** What an owner gets to see of a task. */
 import type {RunRequest} from '../execution/run-request.js';
 import type {RunningJob} from './running-job.js';
-import type {TaskSlot} from './task-slot.js';
+import type {TaskState} from './task-state.js';
 
 /** The request for the present attempt. */
-export function requestOf({job, expectedMilliseconds}: RunningJob, slot: TaskSlot): RunRequest {
+export function requestOf({job, expectedMilliseconds}: RunningJob, slot: TaskState): RunRequest {
 	return {
 		task: slot.id,
 		attempt: slot.attempt,
@@ -14,7 +14,7 @@
 		service: job.route.service,
 		place: job.shape.place,
 		isNearOnly: false,
-		avoid: [...slot.avoid],
+		avoid: [...slot.excludedTargets],
 		jobTasks: job.shape.count,
 		expectedMilliseconds,
 	};
--- a/src/features/dispatch/run-results.ts
+++ b/src/features/dispatch/run-results.ts
@@ -7,7 +7,7 @@
 import type {MeanRunTimes} from '../placement/mean-run-times.js';
 import type {JobTable} from './job-table.js';
 import type {RunningJob} from './running-job.js';
-import type {TaskSlot} from './task-slot.js';
+import type {TaskState} from './task-state.js';
 
 /** The next attempt after a target said that it knows a later one: above those of an earlier submission of the job. */
 const attemptStep = 16;
@@ -30,7 +30,7 @@
 		/** All tasks of a job are done, or one of them can't be. */
 		readonly onDidSettle: (job: RunningJob, answer: 'complete' | 'failed') => void;
 		/** A task's run is gone, perhaps with its target. */
-		readonly onDidLose: (job: RunningJob, slot: TaskSlot) => void;
+		readonly onDidLose: (job: RunningJob, slot: TaskState) => void;
 		/** A task waits again. */
 		readonly onDidFree: () => void;
 		/** A run goes on that nobody here waits for. */
@@ -46,17 +46,17 @@
 	 * Takes what an entry tells of an attempt's end. An end that was reached counts whoever tells it. That the attempt doesn't run
 	 * can be told only by its owner: another entry may have refused it in an earlier submission, and tell that again.
 	 */
-	takeReport(from: MemberId, {task, attempt, outcome}: RunReport): void {
-		const slot = this.parts.jobs.named(task)?.slot ?? this.parts.jobs.formerNamed(task);
+	recordReport(from: MemberId, {task, attempt, outcome}: RunReport): void {
+		const slot = this.parts.jobs.findTask(task)?.slot ?? this.parts.jobs.findEndedTask(task);
 		const isOfOwner = slot?.owner === from || slot?.handedOverAt !== undefined;
 		if (isOfOwner || outcome.kind === 'done' || outcome.kind === 'failed') {
-			this.take(task, attempt, outcome);
+			this.recordOutcome(task, attempt, outcome);
 		}
 	}
 
 	/** Takes how an attempt of a task ended. */
-	take(task: string, attempt: number, outcome: RunOutcome): void {
-		const found = this.parts.jobs.named(task);
+	recordOutcome(task: string, attempt: number, outcome: RunOutcome): void {
+		const found = this.parts.jobs.findTask(task);
 		if (found === undefined) {
 			this.#takeFormer(task, attempt, outcome);
 			return;
@@ -92,7 +92,7 @@
 
 			case 'gone': {
 				slot.attempt += 1;
-				slot.avoid.add(outcome.target);
+				slot.excludedTargets.add(outcome.target);
 				this.parts.listener.onDidLose(job, slot);
 				break;
 			}
@@ -103,7 +103,7 @@
 
 	/** A run goes on under another owner; false where nobody here waits for it. */
 	adopt(task: TaskId, attempt: number, owner: MemberId): boolean {
-		const found = this.parts.jobs.named(task);
+		const found = this.parts.jobs.findTask(task);
 		if (found?.slot.attempt === attempt && found.slot.owner !== undefined) {
 			found.slot.owner = owner;
 			found.slot.handedOverAt = undefined;
@@ -119,9 +119,9 @@
 	 * Runs changed hands: their next owner has to tell, or they have ended with their lease. Where the next owner's word came
 	 * first, the former owner's says nothing any more: the run would be counted as ended while it goes on.
 	 */
-	noteHandovers(handovers: readonly Handover[], former: MemberId): void {
+	recordHandovers(handovers: readonly Handover[], former: MemberId): void {
 		for (const {request} of handovers.flatMap(handover => handover.runs)) {
-			const found = this.parts.jobs.named(request.task);
+			const found = this.parts.jobs.findTask(request.task);
 			if (found?.slot.attempt === request.attempt && found.slot.owner === former) {
 				found.slot.handedOverAt = this.parts.clock.now();
 			}
@@ -131,16 +131,16 @@
 	/** Nobody renews the lease of a run that nobody adopted, so that it has ended once the lease has. */
 	endUnadopted(job: RunningJob, now: number): void {
 		const limit = (this.parts.leaseMilliseconds * leaseDrift) + adoptionSlackMilliseconds;
-		for (const slot of job.slots) {
+		for (const slot of job.tasks) {
 			if (slot.handedOverAt !== undefined && now - slot.handedOverAt > limit) {
-				this.take(slot.id, slot.attempt, {kind: 'gone', target: '', cause: 'handed over to nobody'});
+				this.recordOutcome(slot.id, slot.attempt, {kind: 'gone', target: '', cause: 'handed over to nobody'});
 			}
 		}
 	}
 
 	/** The end of a run whose job is over here: it counts if the job is submitted again. */
 	#takeFormer(task: string, attempt: number, outcome: RunOutcome): void {
-		const slot = this.parts.jobs.formerNamed(task);
+		const slot = this.parts.jobs.findEndedTask(task);
 		if (slot?.attempt !== attempt || slot.owner === undefined) {
 			return;
 		}
@@ -151,7 +151,7 @@
 		slot.attempt += outcome.kind === 'refused' && outcome.cause === 'superseded' ? attemptStep : 1;
 	}
 
-	#takeRefusal(job: RunningJob, slot: TaskSlot, cause: Extract<RunOutcome, {kind: 'refused'}>['cause']): void {
+	#takeRefusal(job: RunningJob, slot: TaskState, cause: Extract<RunOutcome, {kind: 'refused'}>['cause']): void {
 		if (cause === 'superseded') {
 			// An earlier submission of the job ran there: this one can't be told as not run.
 			slot.attempt += attemptStep;
@@ -160,14 +160,14 @@
 
 		slot.attempt += 1;
 		// What an owner calls outdated may have run there in a former epoch.
-		job.orderedStarts -= cause === 'outdated' ? 0 : 1;
+		job.possibleStarts -= cause === 'outdated' ? 0 : 1;
 	}
 
-	#takeFailure(job: RunningJob, slot: TaskSlot, outcome: Extract<RunOutcome, {kind: 'failed'}>): void {
+	#takeFailure(job: RunningJob, slot: TaskState, outcome: Extract<RunOutcome, {kind: 'failed'}>): void {
 		// A failure on a target that fails others too says nothing of the task.
 		slot.failures += outcome.isTargetSuspect ? 0 : 1;
 		slot.attempt += 1;
-		slot.avoid.add(outcome.target);
+		slot.excludedTargets.add(outcome.target);
 		if (slot.failures >= job.job.route.attempts) {
 			this.parts.listener.onDidSettle(job, 'failed');
 		}
--- a/src/features/dispatch/running-job.ts
+++ b/src/features/dispatch/running-job.ts
@@ -4,7 +4,7 @@
 import type {Verdict} from '../../base/verdict.js';
 import type {BestEffortJob} from './best-effort-job.js';
 import type {JobOutcome} from './job-outcome.js';
-import type {TaskSlot} from './task-slot.js';
+import type {TaskState} from './task-state.js';
 
 /** Who waits for a job since when. */
 type Submission = {
@@ -16,16 +16,16 @@
 
 /** Holds the tasks' states and the times that decide the order; the dispatcher moves it on. */
 export class RunningJob {
-	readonly slots: readonly TaskSlot[];
+	readonly tasks: readonly TaskState[];
 	/** Starts that were ordered and not provably refused. With any of them it can't be said that the job never ran. */
-	orderedStarts = 0;
-	isOver = false;
+	possibleStarts = 0;
+	isEnded = false;
 	/** It came when nobody could know of any room: it's not refused for what it missed by that. */
-	isBeforeRoom = false;
+	isBeforeCapacityKnown = false;
 
 	#submission: Submission;
-	#takesFar: boolean;
-	#hasWaitedForNear = false;
+	#isLocalityRelaxed: boolean;
+	#hasWaitedForLocality = false;
 
 	/** With the tasks of a former submission, the job goes on from where they are. */
 	constructor(
@@ -33,14 +33,14 @@
 		submission: Submission,
 		/** What one task is expected to take, in milliseconds. */
 		readonly expectedMilliseconds: number,
-		former?: readonly TaskSlot[],
+		former?: readonly TaskState[],
 	) {
 		this.#submission = submission;
 		const {nearLabel, farFactor} = job.shape.place;
-		this.#takesFar = nearLabel === undefined || this.receivedAt + (farFactor * expectedMilliseconds) <= this.objectiveAt;
-		this.slots = former?.length === job.shape.count ? former : Array.from({length: job.shape.count}, (_, index) => newSlot(job.id, index));
+		this.#isLocalityRelaxed = nearLabel === undefined || this.receivedAt + (farFactor * expectedMilliseconds) <= this.objectiveAt;
+		this.tasks = former?.length === job.shape.count ? former : Array.from({length: job.shape.count}, (_, index) => newSlot(job.id, index));
 		// It was begun before, so that it can't be told as not run now.
-		this.orderedStarts = former === undefined ? 0 : 1;
+		this.possibleStarts = former === undefined ? 0 : 1;
 	}
 
 	get receivedAt(): number {
@@ -63,8 +63,8 @@
 	}
 
 	/** After this the submitter has no use for the answer. */
-	get uselessAt(): number {
-		return Math.min(this.#firstSubmittedAt + (lateFactor * this.objectiveMilliseconds), this.receivedAt + this.job.patienceMilliseconds);
+	get answerExpiresAt(): number {
+		return Math.min(this.#firstSubmittedAt + (lateFactor * this.objectiveMilliseconds), this.receivedAt + this.job.callerTimeoutMilliseconds);
 	}
 
 	/**
@@ -73,37 +73,37 @@
 	 * that was late when it came, since it had been lost elsewhere; one that came before any room was known; one that has waited
 	 * for room near its data; and one that has begun. One whose tasks all run goes on for as long as its submitter waits.
 	 */
-	get giveUpAt(): number {
+	get expiresAt(): number {
 		if (!this.hasWaiting) {
-			return this.receivedAt + this.job.patienceMilliseconds;
+			return this.receivedAt + this.job.callerTimeoutMilliseconds;
 		}
 
 		const latestStart = this.objectiveAt - this.expectedMilliseconds;
-		const isOfUseLate = this.mayHaveRun || latestStart < this.receivedAt || this.#hasWaitedForNear || this.isBeforeRoom;
-		return isOfUseLate ? this.uselessAt - this.expectedMilliseconds : latestStart;
+		const isOfUseLate = this.mayHaveRun || latestStart < this.receivedAt || this.#hasWaitedForLocality || this.isBeforeCapacityKnown;
+		return isOfUseLate ? this.answerExpiresAt - this.expectedMilliseconds : latestStart;
 	}
 
 	/** Whether its tasks may run far from their data: they'd be in time there as well, or can't be in time any more. */
-	get takesFar(): boolean {
-		return this.#takesFar;
+	get isLocalityRelaxed(): boolean {
+		return this.#isLocalityRelaxed;
 	}
 
 	/** No room near its data came in time: a late answer is still of some use to its submitter. */
-	takeFar(): void {
-		this.#takesFar = true;
-		this.#hasWaitedForNear = true;
+	relaxLocality(): void {
+		this.#isLocalityRelaxed = true;
+		this.#hasWaitedForLocality = true;
 	}
 
 	get mayHaveRun(): boolean {
-		return this.orderedStarts > 0;
+		return this.possibleStarts > 0;
 	}
 
-	get waiting(): readonly TaskSlot[] {
-		return this.slots.filter(slot => slot.owner === undefined && !slot.isDone);
+	get waiting(): readonly TaskState[] {
+		return this.tasks.filter(slot => slot.owner === undefined && !slot.isDone);
 	}
 
 	get hasWaiting(): boolean {
-		return this.slots.some(slot => slot.owner === undefined && !slot.isDone);
+		return this.tasks.some(slot => slot.owner === undefined && !slot.isDone);
 	}
 
 	get #firstSubmittedAt(): number {
@@ -116,13 +116,13 @@
 	}
 
 	get isComplete(): boolean {
-		return this.slots.every(slot => slot.isDone);
+		return this.tasks.every(slot => slot.isDone);
 	}
 }
 
-function newSlot(job: JobId, index: number): TaskSlot {
+function newSlot(job: JobId, index: number): TaskState {
 	return {
-		id: `${job}.0.0.${index}` as TaskId, attempt: 1, failures: 0, owner: undefined, handedOverAt: undefined, isDone: false, avoid: new Set<string>(),
+		id: `${job}.0.0.${index}` as TaskId, attempt: 1, failures: 0, owner: undefined, handedOverAt: undefined, isDone: false, excludedTargets: new Set<string>(),
 	};
 }
 
--- a/src/features/dispatch/task-placer.ts
+++ b/src/features/dispatch/task-placer.ts
@@ -7,13 +7,13 @@
 import type {Executor} from '../execution/executor.js';
 import type {RunRequest} from '../execution/run-request.js';
 import type {Pool} from '../pool/pool.js';
-import {chooseShare} from './choose-share.js';
-import type {OpenShare} from './open-share.js';
-import {openShares} from './open-shares.js';
+import {chooseRemoteTarget} from './choose-remote-target.js';
+import type {RemoteTarget} from './remote-target.js';
+import {availableRemoteTargets} from './available-remote-targets.js';
 import type {QueueOrder} from './queue-order.js';
 import {requestOf} from './request-of.js';
 import type {RunningJob} from './running-job.js';
-import type {TaskSlot} from './task-slot.js';
+import type {TaskState} from './task-state.js';
 
 /** After so many tasks that fit nowhere the rest of the queue is left for the next change of room. */
 const missesToGiveUp = 6;
@@ -43,7 +43,7 @@
 		}
 
 		const leastCpuMillis = Math.min(...waiting.map(({job}) => job.shape.need.cpuMillis));
-		const open = openShares(pool, leastCpuMillis);
+		const open = availableRemoteTargets(pool, leastCpuMillis);
 		const ranked = waiting.map(job => ({job, rank: order.rank(job, now)}));
 		ranked.sort((left, right) => left.rank - right.rank);
 		let misses = 0;
@@ -57,12 +57,12 @@
 		return misses === 0;
 	}
 
-	#placeTasksOf(job: RunningJob, open: readonly OpenShare[]): boolean {
+	#placeTasksOf(job: RunningJob, open: readonly RemoteTarget[]): boolean {
 		return job.waiting.every(slot => this.#place(job, slot, open));
 	}
 
 	/** Places one task, near its data and on this entry's own targets first; false where it has to wait. */
-	#place(job: RunningJob, slot: TaskSlot, open: readonly OpenShare[]): boolean {
+	#place(job: RunningJob, slot: TaskState, open: readonly RemoteTarget[]): boolean {
 		const {executor} = this.parts;
 		if (executor.isRunning(slot.id)) {
 			// Its caller submitted here after the loss of another entry, for which the task is still being stopped here.
@@ -74,17 +74,17 @@
 			return this.#start(job, slot, request, open);
 		}
 
-		return this.#start(job, slot, {...request, isNearOnly: true}, open) || (job.takesFar && this.#start(job, slot, request, open));
+		return this.#start(job, slot, {...request, isNearOnly: true}, open) || (job.isLocalityRelaxed && this.#start(job, slot, request, open));
 	}
 
-	#start(job: RunningJob, slot: TaskSlot, request: RunRequest, open: readonly OpenShare[]): boolean {
+	#start(job: RunningJob, slot: TaskState, request: RunRequest, open: readonly RemoteTarget[]): boolean {
 		const {zone, executor, pool, random} = this.parts;
 		if (executor.start(request, pool.self) !== undefined) {
 			note(job, slot, pool.self);
 			return true;
 		}
 
-		const choice = chooseShare(open, request, zone, random);
+		const choice = chooseRemoteTarget(open, request, zone, random);
 		if (choice === undefined) {
 			return false;
 		}
@@ -94,7 +94,7 @@
 		return true;
 	}
 
-	#send(request: RunRequest, {member, share}: OpenShare): void {
+	#send(request: RunRequest, {member, target: share}: RemoteTarget): void {
 		const {pool, clock, journal} = this.parts;
 		share.room = share.room.minus(request.need);
 		pool.send(member.member.id, {kind: 'run', request});
@@ -104,7 +104,7 @@
 	}
 }
 
-function note(job: RunningJob, slot: TaskSlot, owner: MemberId): void {
-	job.orderedStarts += 1;
+function note(job: RunningJob, slot: TaskState, owner: MemberId): void {
+	job.possibleStarts += 1;
 	slot.owner = owner;
 }
--- a/src/features/dispatch/task-slot.ts
+++ b/src/features/dispatch/task-state.ts
@@ -6,7 +6,7 @@
  * `owner` is the entry that runs the present attempt. Without one the task waits; a task that has ended well has
  * `isDone` set.
  */
-export type TaskSlot = {
+export type TaskState = {
 	readonly id: TaskId;
 	attempt: number;
 	failures: number;
@@ -14,5 +14,5 @@
 	/** When the owner gave the run's target up; none while its owner is known. */
 	handedOverAt: number | undefined;
 	isDone: boolean;
-	readonly avoid: Set<string>;
+	readonly excludedTargets: Set<string>;
 };
--- a/src/features/dispatch/usual-patience.ts
+++ b/src/features/dispatch/typical-timeout.ts
@@ -20,19 +20,19 @@
  * the difference to what callers of its queue usually state is how old its job is. The usual time is a low quantile, since
  * callers of one queue state different times: a job is taken for younger than it is rather than for older.
  */
-export class UsualPatience {
+export class TypicalTimeout {
 	#usual: number | undefined;
 	#samples: number[] = [];
 	#recent: boolean[] = [];
 	#doubtedSince: number | undefined;
 
 	/** In milliseconds; nothing while it isn't known. */
-	get usual(): number | undefined {
+	get milliseconds(): number | undefined {
 		return this.#usual;
 	}
 
 	/** Takes what another entry, or an earlier life of this one, has learned, if nothing is known here. */
-	adopt(usualMilliseconds: number): void {
+	seed(usualMilliseconds: number): void {
 		this.#usual ??= usualMilliseconds;
 	}
 
--- a/src/features/intake/intake-key.ts
+++ b/src/features/intake/api-server-key.ts
@@ -1,6 +1,6 @@
 /** The container's name for the HTTP interface. */
 import {ServiceKey} from '../../runtime/kernel/service-key.js';
-import type {Intake} from './intake.js';
+import type {ApiServer} from './api-server.js';
 
 /** Provided by the intake feature; the daemon opens and closes it. */
-export const intakeKey = new ServiceKey<Intake>('intake');
+export const apiServerKey = new ServiceKey<ApiServer>('intake');
--- a/src/features/intake/intake.ts
+++ b/src/features/intake/api-server.ts
@@ -18,7 +18,7 @@
 import {submissionIdOf} from './submission-id-of.js';
 
 /** Where an entry listens, and what it lets in. */
-type IntakeLimits = {
+type ServerOptions = {
 	readonly zone: AvailabilityZone;
 	readonly address: string;
 	readonly port: number;
@@ -26,18 +26,18 @@
 	readonly maximumDeadlineMilliseconds: number;
 };
 /** What an entry tells of itself. */
-type IntakeState = {readonly readiness: Readiness; readonly status: StatusReport};
+type ServerState = {readonly readiness: Readiness; readonly status: StatusReport};
 type Refusal = Extract<Verdict<JobAnswer>, {kind: 'notRun'}>;
 
 /** Owns the HTTP server; see docs/INTERFACES.md for what it speaks. */
-export class Intake implements Disposable {
+export class ApiServer implements Disposable {
 	#server: ServerType | undefined;
 
 	constructor(
-		private readonly limits: IntakeLimits,
+		private readonly limits: ServerOptions,
 		private readonly jobs: JobService,
 		private readonly submissions: SubmissionDesk,
-		private readonly state: IntakeState,
+		private readonly state: ServerState,
 	) {}
 
 	/** Listens and returns the port. */
--- a/src/features/intake/intake.contribution.ts
+++ b/src/features/intake/intake.contribution.ts
@@ -6,8 +6,8 @@
 import {runtimeKeys} from '../../runtime/runtime-keys.js';
 import {jobServiceKey} from '../jobs/job-service-key.js';
 import {submissionDeskKey} from '../submissions/submission-desk-key.js';
-import {Intake} from './intake.js';
-import {intakeKey} from './intake-key.js';
+import {ApiServer} from './api-server.js';
+import {apiServerKey} from './api-server-key.js';
 import {readinessKey} from './readiness-key.js';
 import {statusReportKey} from './status-report-key.js';
 
@@ -17,7 +17,7 @@
 
 	override activate(services: ServiceContainer, store: DisposableStore): void {
 		const {entry, limits} = services.get(runtimeKeys.settings);
-		services.provide(intakeKey, store.add(new Intake(
+		services.provide(apiServerKey, store.add(new ApiServer(
 			{
 				zone: entry.zone, address: entry.address, port: entry.httpPort, ...limits,
 			},
--- a/src/features/jobs/conclude-job.ts
+++ b/src/features/jobs/combine-verdicts.ts
@@ -8,7 +8,7 @@
  * The verdict as soon as it's certain, which it is when all tasks have their results, or when one has none and every
  * doubt about the others is part of the answer: a job is complete, failed, not run at all, or in doubt.
  */
-export function concludeJob(tasks: readonly JobTask[]): Verdict<JobAnswer> | undefined {
+export function combineVerdicts(tasks: readonly JobTask[]): Verdict<JobAnswer> | undefined {
 	const bad = tasks.find(task => task.verdict !== undefined && !isResult(task.verdict));
 	if (bad !== undefined) {
 		return concludeBad(tasks, bad);
--- a/src/features/jobs/job-tools.ts
+++ b/src/features/jobs/job-dependencies.ts
@@ -6,10 +6,10 @@
 import type {SlotDesk} from '../placement/slot-desk.js';
 import type {RetryBudget} from './retry-budget.js';
 import type {VariantGuard} from './variant-guard.js';
-import type {ZoneChoice} from './zone-choice.js';
+import type {ZoneSelector} from './zone-selector.js';
 
 /** Shared by all jobs of an entry. */
-export type JobTools = {
+export type JobDependencies = {
 	readonly clock: Clock;
 	readonly journal: Journal;
 	readonly metrics: Metrics;
@@ -17,5 +17,5 @@
 	readonly slots: SlotDesk;
 	readonly budget: RetryBudget;
 	readonly guard: VariantGuard;
-	readonly zones: ZoneChoice;
+	readonly zones: ZoneSelector;
 };
--- a/src/features/jobs/job-service.ts
+++ b/src/features/jobs/job-service.ts
@@ -10,7 +10,7 @@
 import type {SubmissionDesk} from '../submissions/submission-desk.js';
 import type {Job} from './job.js';
 import type {JobRequest} from './job-request.js';
-import type {JobTools} from './job-tools.js';
+import type {JobDependencies} from './job-dependencies.js';
 import {RunningJob} from './running-job.js';
 
 /** 128 bits in base64. */
@@ -28,7 +28,7 @@
 	constructor(
 		private readonly profiles: ProfileBook,
 		private readonly submissions: SubmissionDesk,
-		private readonly tools: JobTools,
+		private readonly tools: JobDependencies,
 	) {}
 
 	get inFlight(): number {
--- a/src/features/jobs/jobs.contribution.ts
+++ b/src/features/jobs/jobs.contribution.ts
@@ -11,7 +11,7 @@
 import {jobServiceKey} from './job-service-key.js';
 import {RetryBudget} from './retry-budget.js';
 import {VariantGuard} from './variant-guard.js';
-import {ZoneChoice} from './zone-choice.js';
+import {ZoneSelector} from './zone-selector.js';
 
 contributions.register(new class extends Contribution {
 	override readonly name = 'jobs';
@@ -30,7 +30,7 @@
 			slots: services.get(slotDeskKey),
 			budget: new RetryBudget(),
 			guard: new VariantGuard(journal),
-			zones: new ZoneChoice(entry.zone, entry.zones, clock, services.get(runtimeKeys.random)),
+			zones: new ZoneSelector(entry.zone, entry.zones, clock, services.get(runtimeKeys.random)),
 		});
 		store.add(submissions.onDidRequestCancel(id => {
 			jobs.cancel(id);
--- a/src/features/jobs/retry-budget.ts
+++ b/src/features/jobs/retry-budget.ts
@@ -7,12 +7,12 @@
 export class RetryBudget {
 	#tokens = capacity;
 
-	noteFresh(): void {
+	recordStart(): void {
 		this.#tokens = Math.min(capacity, this.#tokens + retriesPerFreshTask);
 	}
 
 	/** Takes one retry, if there is one left. */
-	take(): boolean {
+	tryTake(): boolean {
 		if (this.#tokens < 1) {
 			return false;
 		}
--- a/src/features/jobs/running-job.ts
+++ b/src/features/jobs/running-job.ts
@@ -10,10 +10,10 @@
 import type {GrantedSlot} from '../placement/granted-slot.js';
 import type {JobRefusal} from '../placement/job-refusal.js';
 import type {PlacementRequest} from '../placement/placement-request.js';
-import {concludeJob} from './conclude-job.js';
+import {combineVerdicts} from './combine-verdicts.js';
 import type {Job} from './job.js';
 import type {JobTask} from './job-task.js';
-import type {JobTools} from './job-tools.js';
+import type {JobDependencies} from './job-dependencies.js';
 
 const priorityFactors = {urgent: 4, normal: 1, background: 0.25};
 /** Refusals that another zone may not share. */
@@ -35,7 +35,7 @@
 	#isConcluded = false;
 	#conclude: ((verdict: Verdict<JobAnswer>) => void) | undefined;
 
-	constructor(private readonly job: Job, private readonly tools: JobTools) {
+	constructor(private readonly job: Job, private readonly tools: JobDependencies) {
 		this.#tasks = job.tasks.map((specification, index) => {
 			const id = `${job.id}/${index}` as TaskId;
 			return {
@@ -133,7 +133,7 @@
 				source.cancel();
 			},
 		};
-		tools.budget.noteFresh();
+		tools.budget.recordStart();
 		tools.journal.record('taskStarted', {
 			task: task.id, target: target.id, attempt: task.attempt, profile: job.revision.profile.name, variant: this.#label,
 		});
@@ -157,14 +157,14 @@
 			return;
 		}
 
-		tools.guard.report(job.revision, this.#label !== undefined, verdict.kind === 'answered' && verdict.answer.kind === 'result', elapsed);
+		tools.guard.recordTask(job.revision, this.#label !== undefined, verdict.kind === 'answered' && verdict.answer.kind === 'result', elapsed);
 		this.#ended(task, verdict);
 	}
 
 	/** The target proved that it didn't run the task; the same ticket number is never used twice. */
 	#retry(task: JobTask, target: GrantedSlot['target'], verdict: Extract<Verdict<TaskAnswer>, {kind: 'notRun'}>): void {
 		const {tools, job} = this;
-		if (this.#isConcluded || task.attempt >= job.revision.profile.retries || this.#remaining() <= 0 || !tools.budget.take()) {
+		if (this.#isConcluded || task.attempt >= job.revision.profile.retries || this.#remaining() <= 0 || !tools.budget.tryTake()) {
 			this.#ended(task, verdict);
 			return;
 		}
@@ -211,7 +211,7 @@
 			return;
 		}
 
-		this.tools.zones.noteRefusal(this.#zone);
+		this.tools.zones.recordRefusal(this.#zone);
 		const next = zoneCauses.has(refusal.cause) ? this.tools.zones.next(this.#triedZones) : undefined;
 		if (next === undefined) {
 			this.#ended(task, {...refusal, kind: 'notRun'});
@@ -240,7 +240,7 @@
 
 	#ended(task: JobTask, verdict: Verdict<TaskAnswer>): void {
 		task.verdict = verdict;
-		const concluded = concludeJob(this.#tasks);
+		const concluded = combineVerdicts(this.#tasks);
 		if (concluded !== undefined) {
 			this.#end(concluded);
 		}
--- a/src/features/jobs/variant-guard.ts
+++ b/src/features/jobs/variant-guard.ts
@@ -31,7 +31,7 @@
 	}
 
 	/** Takes the end of a task of a profile that has a variant. */
-	report(revision: ProfileRevision, isVariant: boolean, isGood: boolean, runMilliseconds: number): void {
+	recordTask(revision: ProfileRevision, isVariant: boolean, isGood: boolean, runMilliseconds: number): void {
 		if (revision.profile.variant === undefined) {
 			return;
 		}
--- a/src/features/jobs/zone-choice.ts
+++ b/src/features/jobs/zone-selector.ts
@@ -10,7 +10,7 @@
  * Work stays in its own zone unless that zone refuses it for want of slots or targets. Then one other zone is asked,
  * unless it lately refused as well: when all are full, asking around would only add messages.
  */
-export class ZoneChoice {
+export class ZoneSelector {
 	readonly #refusedAt = new Map<AvailabilityZone, number>();
 
 	constructor(
@@ -20,7 +20,7 @@
 		private readonly random: Random,
 	) {}
 
-	noteRefusal(zone: AvailabilityZone): void {
+	recordRefusal(zone: AvailabilityZone): void {
 		this.#refusedAt.set(zone, this.clock.now());
 	}
 
--- a/src/features/routing/routing-table.ts
+++ b/src/features/routing/routing-table.ts
@@ -47,7 +47,7 @@
 	}
 
 	/** Takes a version if it's newer than the one in force. */
-	offer(configuration: RoutingConfiguration, source: Source): void {
+	update(configuration: RoutingConfiguration, source: Source): void {
 		if (configuration.version <= this.version) {
 			return;
 		}
@@ -72,7 +72,7 @@
 	}
 
 	/** The process may have missed something: what was confirmed before, or asked before, proves nothing. */
-	distrust(): void {
+	invalidate(): void {
 		this.#distrustedAt = this.clock.now();
 		this.#confirmedAt = Number.NEGATIVE_INFINITY;
 	}
--- a/src/features/submissions/open-claims.ts
+++ b/src/features/submissions/open-claims.ts
@@ -2,7 +2,7 @@
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {CancellationToken} from '../../base/cancellation-token.js';
 import type {Clock} from '../../base/clock.js';
-import type {DoubtCause} from '../../base/doubt-cause.js';
+import type {UncertaintyCause} from '../../base/uncertainty-cause.js';
 import type {MemberId} from '../../base/member-id.js';
 import {rankByKey} from '../../base/rank-by-key.js';
 import type {Journal} from '../../runtime/journal/journal.js';
@@ -190,7 +190,7 @@
 		});
 	}
 
-	#doubt(open: Open, cause: DoubtCause, detail: string): void {
+	#doubt(open: Open, cause: UncertaintyCause, detail: string): void {
 		if (cause === 'homeUnreachable') {
 			this.parts.journal.record('claimUndecided', {
 				submission: open.submission.id, zone: open.home, milliseconds: Math.round(this.parts.clock.now() - open.startedAt),
--- a/src/features/submissions/verdict-schema.ts
+++ b/src/features/submissions/verdict-schema.ts
@@ -1,6 +1,6 @@
 /** Checks verdicts that peers send. */
 import * as z from 'zod';
-import type {DoubtCause} from '../../base/doubt-cause.js';
+import type {UncertaintyCause} from '../../base/uncertainty-cause.js';
 import type {JobAnswer} from '../../base/job-answer.js';
 import {jsonValueSchema} from '../../base/json-value-schema.js';
 import type {RefusalCause} from '../../base/refusal-cause.js';
@@ -21,5 +21,5 @@
 		detail: z.string(),
 		retryAfterMilliseconds: z.number().optional(),
 	}),
-	z.object({kind: z.literal('mayHaveRun'), cause: z.string().transform(cause => cause as DoubtCause), detail: z.string()}),
+	z.object({kind: z.literal('mayHaveRun'), cause: z.string().transform(cause => cause as UncertaintyCause), detail: z.string()}),
 ]) as z.ZodType<Verdict<JobAnswer>>;
--- a/test/features/dispatch/patience-book.test.ts
+++ b/test/features/dispatch/caller-timeouts.test.ts
@@ -3,7 +3,7 @@
 import {test} from 'node:test';
 import type {ProfileName} from '../../../src/base/profile-name.js';
 import {Random} from '../../../src/base/random.js';
-import {PatienceBook} from '../../../src/features/dispatch/patience-book.js';
+import {CallerTimeouts} from '../../../src/features/dispatch/caller-timeouts.js';
 
 const queue = 'queue' as ProfileName;
 
@@ -13,21 +13,21 @@
 }
 
 function learned(samples: number) {
-	const book = new PatienceBook();
+	const book = new CallerTimeouts();
 	const random = new Random(1);
 	let now = 0;
 	for (let sample = 0; sample < samples; sample += 1) {
 		now += 50;
-		book.ageOf(queue, freshOf(random), now);
+		book.estimateAge(queue, freshOf(random), now);
 	}
 
 	return {book, random, now};
 }
 
 test('nothing is old while little is known, and then hardly a fresh one is', () => {
-	assert.equal(learned(10).book.ageOf(queue, 300, 0), 0);
+	assert.equal(learned(10).book.estimateAge(queue, 300, 0), 0);
 	const {book, random} = learned(200);
-	const ages = Array.from({length: 1000}, (_, index) => book.ageOf(queue, freshOf(random), 10_000 + (index * 50)));
+	const ages = Array.from({length: 1000}, (_, index) => book.estimateAge(queue, freshOf(random), 10_000 + (index * 50)));
 	assert.deepEqual({
 		hardlyAnyOld: ages.filter(age => age > 30).length < 20,
 		oldest: Math.max(...ages) < 60,
@@ -40,8 +40,8 @@
 	const {book, random, now} = learned(400);
 	const ages: number[] = [];
 	for (let sample = 0; sample < 40; sample += 1) {
-		book.ageOf(queue, freshOf(random), now + (sample * 50));
-		ages.push(book.ageOf(queue, freshOf(random) - 1300, now + (sample * 50) + 25));
+		book.estimateAge(queue, freshOf(random), now + (sample * 50));
+		ages.push(book.estimateAge(queue, freshOf(random) - 1300, now + (sample * 50) + 25));
 	}
 
 	assert.deepEqual([Math.min(...ages) > 200, Math.max(...ages) <= 1300], [true, true], `${Math.min(...ages)} to ${Math.max(...ages)}`);
@@ -50,7 +50,7 @@
 // Callers are changed to wait no longer than a third of what they did. Taken for old, all their jobs would be refused.
 test('callers that state less from now on are believed after some seconds', () => {
 	const {book, now} = learned(400);
-	const ageAfter = (milliseconds: number) => book.ageOf(queue, 600, now + milliseconds);
+	const ageAfter = (milliseconds: number) => book.estimateAge(queue, 600, now + milliseconds);
 	const first = ageAfter(50);
 	for (let at = 100; at < 12_000; at += 50) {
 		ageAfter(at);
@@ -60,10 +60,10 @@
 });
 
 test('what an earlier life has learned counts until something is learned here', () => {
-	const book = new PatienceBook();
-	book.adopt(queue, 1800);
-	assert.equal(book.ageOf(queue, 500, 0), 1300);
+	const book = new CallerTimeouts();
+	book.seed(queue, 1800);
+	assert.equal(book.estimateAge(queue, 500, 0), 1300);
 	const {book: own} = learned(200);
-	own.adopt(queue, 9000);
-	assert.equal(own.usual.get(queue)! < 2000, true);
+	own.seed(queue, 9000);
+	assert.equal(own.typical.get(queue)! < 2000, true);
 });
--- a/test/features/dispatch/reachable-objective.test.ts
+++ b/test/features/dispatch/least-laxity.test.ts
@@ -5,7 +5,7 @@
 import type {ProfileName} from '../../../src/base/profile-name.js';
 import {Resources} from '../../../src/base/resources.js';
 import type {ServiceName} from '../../../src/base/service-name.js';
-import {ReachableObjective} from '../../../src/features/dispatch/reachable-objective.js';
+import {LeastLaxity} from '../../../src/features/dispatch/least-laxity.js';
 import {anyPlace} from '../../support/any-place.js';
 import {RunningJob} from '../../../src/features/dispatch/running-job.js';
 
@@ -21,16 +21,16 @@
 		shape: {
 			count: tasks, need: Resources.none, declaredMilliseconds: expected, place: anyPlace,
 		},
-		patienceMilliseconds: 5000,
+		callerTimeoutMilliseconds: 5000,
 	}, {
 		receivedAt,
 		settle() {
 			// Nobody waits for it here.
 		},
 	}, expected);
-	for (const slot of job.slots.slice(0, started)) {
+	for (const slot of job.tasks.slice(0, started)) {
 		slot.isDone = true;
-		job.orderedStarts += 1;
+		job.possibleStarts += 1;
 	}
 
 	return job;
@@ -58,7 +58,7 @@
 			name: 'short, fresh, older', tasks: 8, started: 0, expected: 60, receivedAt: 950,
 		}),
 	];
-	const order = new ReachableObjective();
+	const order = new LeastLaxity();
 	const sorted = jobs.map(job => ({name: job.job.id, rank: order.rank(job, now)})).sort((left, right) => left.rank - right.rank);
 	assert.deepEqual(sorted.map(({name}) => name), ['short, begun', 'late, nearly done', 'short, fresh, older', 'short, fresh', 'long, fresh', 'late, half done']);
 });
@@ -73,7 +73,7 @@
 	const placed = jobOf({
 		name: 'placed', tasks: 8, started: 8, expected: 100, receivedAt: 0,
 	});
-	assert.deepEqual([fresh.giveUpAt, begun.giveUpAt, placed.giveUpAt], [120, 560, 5000]);
+	assert.deepEqual([fresh.expiresAt, begun.expiresAt, placed.expiresAt], [120, 560, 5000]);
 });
 
 // A burst of a less urgent queue's jobs came a moment before an urgent one. Without regard to priority the urgent job, which
@@ -91,7 +91,7 @@
 			name: 'less urgent, waited long', tasks: 2, started: 0, expected: 200, receivedAt: 820, priority: 1,
 		}),
 	];
-	const order = new ReachableObjective();
+	const order = new LeastLaxity();
 	const sorted = jobs.map(job => ({name: job.job.id, rank: order.rank(job, now)})).sort((left, right) => left.rank - right.rank);
 	assert.deepEqual(sorted.map(({name}) => name), ['less urgent, waited long', 'urgent', 'less urgent']);
 });
--- a/test/features/intake/intake.test.ts
+++ b/test/features/intake/api-server.test.ts
@@ -4,7 +4,7 @@
 import type {AvailabilityZone} from '../../../src/base/availability-zone.js';
 import {Emitter} from '../../../src/base/emitter.js';
 import type {ProfileName} from '../../../src/base/profile-name.js';
-import {Intake} from '../../../src/features/intake/intake.js';
+import {ApiServer} from '../../../src/features/intake/api-server.js';
 import {Readiness} from '../../../src/features/intake/readiness.js';
 import {StatusReport} from '../../../src/features/intake/status-report.js';
 import {JobService} from '../../../src/features/jobs/job-service.js';
@@ -41,7 +41,7 @@
 const readiness = new Readiness();
 const submissions = new OpenSubmissionDesk();
 const jobs = new JobService(book, submissions, jobToolsOf(new FakeClock(), new FakeSlotDesk(true), driver));
-const intake = new Intake(
+const intake = new ApiServer(
 	{
 		zone: 'zone-1' as AvailabilityZone, address: '127.0.0.1', port: 0, bodyBytes: 4096, maximumDeadlineMilliseconds: 60_000,
 	},
--- a/test/features/routing/routing-table.test.ts
+++ b/test/features/routing/routing-table.test.ts
@@ -24,7 +24,7 @@
 
 test('the longest prefix wins, and hosts are kept apart', () => {
 	const {table} = tableOf();
-	table.offer(configurationOf(1, '/a/', '/a/b/'), 'store');
+	table.update(configurationOf(1, '/a/', '/a/b/'), 'store');
 	const found = table.resolve('host', '/a/b/c');
 	assert.equal(found.kind === 'found' && found.route.queue, '/a/b/');
 	assert.equal(table.resolve('other', '/a/b/c').kind, 'uncertain');
@@ -33,8 +33,8 @@
 // Operators' changes would be undone: an answer that was delayed, or a peer that was cut off, brings an older version.
 test('an older version never replaces a newer one, whoever brings it', () => {
 	const {table} = tableOf();
-	table.offer(configurationOf(7, '/new/'), 'peer');
-	table.offer(configurationOf(3, '/old/'), 'store');
+	table.update(configurationOf(7, '/new/'), 'peer');
+	table.update(configurationOf(3, '/old/'), 'store');
 	assert.equal(table.version, 7);
 	assert.equal(table.resolve('host', '/old/x').kind, 'uncertain');
 });
@@ -43,10 +43,10 @@
 // been added since: a caller of that route would be told that there's no such queue.
 test('an answer that was asked for before a pause confirms nothing after it', () => {
 	const {clock, table} = tableOf();
-	table.offer(configurationOf(1, '/a/'), 'store');
+	table.update(configurationOf(1, '/a/'), 'store');
 	const askedAt = clock.now();
 	clock.advance(10);
-	table.distrust();
+	table.invalidate();
 	table.confirm(askedAt);
 	assert.equal(table.resolve('host', '/b/x').kind, 'uncertain');
 	table.confirm(clock.now());
--- a/test/platform/job-front-hang-ups.test.ts
+++ b/test/platform/job-front-hang-ups.test.ts
@@ -35,7 +35,7 @@
 	const world = new PooledWorld(['a-1'], 2);
 	await world.start();
 	const routing = new RoutingTable(1500, world.clock, world.journal);
-	routing.offer({
+	routing.update({
 		version: 1,
 		bodyLimitBytes: 2000,
 		routes: [{
--- a/test/platform/job-front.test.ts
+++ b/test/platform/job-front.test.ts
@@ -35,7 +35,7 @@
 	};
 
 	const publish = () => {
-		routing.offer({
+		routing.update({
 			version: 1,
 			bodyLimitBytes: 2000,
 			routes: [{
--- a/test/support/job-tools-of.ts
+++ b/test/support/job-tools-of.ts
@@ -1,10 +1,10 @@
 /** Tools for running jobs in tests. */
 import type {AvailabilityZone} from '../../src/base/availability-zone.js';
 import {Random} from '../../src/base/random.js';
-import type {JobTools} from '../../src/features/jobs/job-tools.js';
+import type {JobDependencies} from '../../src/features/jobs/job-dependencies.js';
 import {RetryBudget} from '../../src/features/jobs/retry-budget.js';
 import {VariantGuard} from '../../src/features/jobs/variant-guard.js';
-import {ZoneChoice} from '../../src/features/jobs/zone-choice.js';
+import {ZoneSelector} from '../../src/features/jobs/zone-selector.js';
 import type {SlotDesk} from '../../src/features/placement/slot-desk.js';
 import {SilentMetrics} from '../../src/runtime/metrics/silent-metrics.js';
 import type {TargetDriver} from '../../src/runtime/targets/target-driver.js';
@@ -12,10 +12,10 @@
 import {RecordingJournal} from './recording-journal.js';
 
 /** Two zones, of which zone-1 is the entry's own. */
-export function jobToolsOf(clock: FakeClock, slots: SlotDesk, driver: TargetDriver): JobTools & {readonly journal: RecordingJournal} {
+export function jobToolsOf(clock: FakeClock, slots: SlotDesk, driver: TargetDriver): JobDependencies & {readonly journal: RecordingJournal} {
 	const journal = new RecordingJournal();
 	const zones = ['zone-1', 'zone-2'] as AvailabilityZone[];
 	return {
-		clock, journal, metrics: new SilentMetrics(), driver, slots, budget: new RetryBudget(), guard: new VariantGuard(journal), zones: new ZoneChoice(zones[0]!, zones, clock, new Random(1)),
+		clock, journal, metrics: new SilentMetrics(), driver, slots, budget: new RetryBudget(), guard: new VariantGuard(journal), zones: new ZoneSelector(zones[0]!, zones, clock, new Random(1)),
 	};
 }
--- a/test/support/pooled-world.ts
+++ b/test/support/pooled-world.ts
@@ -160,7 +160,7 @@
 				shape: {
 					count: tasks, need: new Resources(27_000, 64, 0), declaredMilliseconds: declared, place: {...anyPlace, ...place},
 				},
-				patienceMilliseconds: patience,
+				callerTimeoutMilliseconds: patience,
 			}, caller.token);
 		})();
 
