--- a/bench/model/pool-model.ts
+++ b/bench/model/pool-model.ts
@@ -65,7 +65,7 @@
 			payload: '',
 			shape: {
 				count: runMilliseconds.length, need: Resources.none, declaredMilliseconds: kind.taskMilliseconds, place: {
-					label: undefined, nearLabel: undefined, farFactor: 1, mostOnTarget: undefined,
+					label: undefined, nearLabel: undefined, farFactor: 1, maxTasksPerTarget: undefined,
 				},
 			},
 			patienceMilliseconds,
--- a/src/entries/edge/pooled-entry.ts
+++ b/src/entries/edge/pooled-entry.ts
@@ -10,7 +10,7 @@
 import {PatienceBook} from '../../features/dispatch/patience-book.js';
 import {ReachableObjective} from '../../features/dispatch/reachable-objective.js';
 import {Executor} from '../../features/execution/executor.js';
-import {LossBook} from '../../features/execution/loss-book.js';
+import {LossHistory} from '../../features/execution/loss-history.js';
 import {Ownership} from '../../features/ownership/ownership.js';
 import type {PartitionGroup} from '../../features/ownership/partition-group.js';
 import {MeanRunTimes} from '../../features/placement/mean-run-times.js';
@@ -57,13 +57,13 @@
 	readonly patience = new PatienceBook();
 	readonly pauses: PauseWatch;
 	readonly #store = new DisposableStore();
-	readonly #losses: LossBook;
+	readonly #losses: LossHistory;
 	#isLeaving = false;
 
 	constructor(private readonly parts: PooledEntryParts) {
 		const {zone, member, leaseMilliseconds, network, group, catalogue, evacuations, orders, clock, journal} = parts;
 		const own = this.#store;
-		this.#losses = new LossBook(clock, journal);
+		this.#losses = new LossHistory(clock, journal);
 		this.pauses = own.add(new PauseWatch(clock));
 		this.executor = own.add(new Executor({
 			leaseMilliseconds, orders, health: new TargetHealth(journal), losses: this.#losses, clock, journal,
@@ -101,7 +101,7 @@
 	start(): void {
 		const {clock} = this.parts;
 		this.pool.start();
-		this.ownership.cover(new Set());
+		this.ownership.coverZones(new Set());
 		clock.schedule(coverDelayMilliseconds, () => {
 			this.#store.add(repeat(clock, coverCheckMilliseconds, () => {
 				this.#cover();
@@ -131,9 +131,9 @@
 		}));
 		own.add(this.pool.onDidHearOfLoss(() => {
 			this.pauses.doubt();
-			this.executor.look();
+			this.executor.pollTargets();
 		}));
-		own.add(this.executor.onDidChangeRoom(() => {
+		own.add(this.executor.onDidChangeFreeCapacity(() => {
 			this.pool.tellRoom();
 		}));
 		own.add(this.ownership.onDidHandOver(handovers => {
@@ -141,7 +141,7 @@
 			const requesters = new Set(handovers.flatMap(({runs}) => runs.map(({requester}) => requester)));
 			this.pool.broadcast({kind: 'handover', handovers, requesters: this.pool.introduce(requesters)});
 		}));
-		own.add(this.#losses.onDidNote(loss => {
+		own.add(this.#losses.onDidRecord(loss => {
 			this.pool.broadcast({kind: 'loss', loss});
 		}));
 		own.add(routing.onDidChange(() => {
@@ -155,7 +155,7 @@
 			} else if (message.kind === 'wantRouting' && routing.configuration !== undefined) {
 				this.pool.send(from.id, {kind: 'routing', configuration: routing.configuration});
 			} else if (message.kind === 'loss') {
-				this.#losses.take(message.loss);
+				this.#losses.apply(message.loss);
 			} else if (message.kind === 'routing') {
 				routing.offer(message.configuration, 'peer');
 			}
@@ -164,7 +164,7 @@
 
 	/** The targets' clocks tell a suspension from a time of day that was set; without targets it's taken for one. */
 	#verify(milliseconds: number): void {
-		this.executor.look();
+		this.executor.pollTargets();
 		if (this.executor.ownedTargets === 0) {
 			this.pauses.noteUncounted({milliseconds, since: this.parts.clock.now()});
 		}
@@ -172,7 +172,7 @@
 
 	#state(): EntryState {
 		return {
-			isLeaving: this.#isLeaving, routingVersion: this.parts.routing.version, wanted: this.dispatcher.jobs.wanted, room: this.executor.room,
+			isLeaving: this.#isLeaving, routingVersion: this.parts.routing.version, wanted: this.dispatcher.jobs.wanted, room: this.executor.freeCapacity,
 		};
 	}
 
@@ -183,6 +183,6 @@
 
 		const zones = [...this.parts.catalogue.targets.values()].map(target => target.zone);
 		const covered = zonesToCover(zones, {id: this.pool.self, zone: this.parts.zone, isLeaving: false}, this.pool.members);
-		this.ownership.cover(covered);
+		this.ownership.coverZones(covered);
 	}
 }
--- a/src/features/dispatch/choose-share.ts
+++ b/src/features/dispatch/choose-share.ts
@@ -1,7 +1,7 @@
 /** The choice among other entries' targets. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Random} from '../../base/random.js';
-import {isPlaceFor} from '../execution/is-place-for.js';
+import {satisfiesConstraints} from '../execution/satisfies-constraints.js';
 import type {RunRequest} from '../execution/run-request.js';
 import type {OpenShare} from './open-share.js';
 
@@ -22,6 +22,6 @@
 
 function suits(share: OpenShare['share'], request: RunRequest): boolean {
 	return share.service === request.service
-		&& isPlaceFor(request, share.labels)
+		&& satisfiesConstraints(request, share.labels)
 		&& request.need.fitsInto(share.room);
 }
--- a/src/features/dispatch/dispatcher.ts
+++ b/src/features/dispatch/dispatcher.ts
@@ -12,7 +12,7 @@
 import type {PauseWatch} from '../../runtime/pause-watch.js';
 import type {Handover} from '../execution/handover.js';
 import type {Executor} from '../execution/executor.js';
-import type {LossBook} from '../execution/loss-book.js';
+import type {LossHistory} from '../execution/loss-history.js';
 import type {MeanRunTimes} from '../placement/mean-run-times.js';
 import type {Pool} from '../pool/pool.js';
 import type {PoolMessage} from '../pool/pool-message.js';
@@ -40,7 +40,7 @@
 	readonly leaseMilliseconds: number;
 	readonly runTimes: MeanRunTimes;
 	readonly patience: PatienceBook;
-	readonly losses: LossBook;
+	readonly losses: LossHistory;
 	readonly pauses: PauseWatch;
 	readonly random: Random;
 	readonly clock: Clock;
@@ -178,7 +178,7 @@
 			journal.record('touchLost', {cause, jobs: this.#jobs.size});
 			this.#conclusion.endAll('notReady', `the entry was out of touch: ${cause}`);
 		}));
-		this.#store.add(losses.onDidBar(task => {
+		this.#store.add(losses.onDidBlockTask(task => {
 			const found = this.#jobs.named(task);
 			if (found !== undefined) {
 				this.#conclusion.endIfBarred(found.job, found.slot);
@@ -190,7 +190,7 @@
 		this.#store.add(pool.onDidChangeRoom(() => {
 			this.#pumpSoon();
 		}));
-		this.#store.add(executor.onDidChangeRoom(() => {
+		this.#store.add(executor.onDidChangeFreeCapacity(() => {
 			this.#pumpSoon();
 		}));
 	}
--- a/src/features/dispatch/job-admission.ts
+++ b/src/features/dispatch/job-admission.ts
@@ -2,7 +2,7 @@
 import type {CancellationToken} from '../../base/cancellation-token.js';
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {Executor} from '../execution/executor.js';
-import type {LossBook} from '../execution/loss-book.js';
+import type {LossHistory} from '../execution/loss-history.js';
 import type {MeanRunTimes} from '../placement/mean-run-times.js';
 import type {Pool} from '../pool/pool.js';
 import type {BestEffortJob} from './best-effort-job.js';
@@ -20,7 +20,7 @@
 	readonly executor: Executor;
 	readonly pool: Pool;
 	readonly runTimes: MeanRunTimes;
-	readonly losses: LossBook;
+	readonly losses: LossHistory;
 	readonly journal: Journal;
 	/** Has waiting tasks placed where they can be. */
 	readonly placeSoon: () => void;
@@ -102,7 +102,7 @@
 	 */
 	#seesRoom(): boolean {
 		const {executor, pool} = this.parts;
-		this.#hasSeenRoom ||= executor.room.length > 0 || [...pool.members].some(({room}) => room.length > 0);
+		this.#hasSeenRoom ||= executor.freeCapacity.length > 0 || [...pool.members].some(({room}) => room.length > 0);
 		return this.#hasSeenRoom;
 	}
 
--- a/src/features/dispatch/job-conclusion.ts
+++ b/src/features/dispatch/job-conclusion.ts
@@ -3,7 +3,7 @@
 import type {MemberId} from '../../base/member-id.js';
 import type {Verdict} from '../../base/verdict.js';
 import type {Journal} from '../../runtime/journal/journal.js';
-import type {LossBook} from '../execution/loss-book.js';
+import type {LossHistory} from '../execution/loss-history.js';
 import {doubt} from './doubt.js';
 import type {JobOutcome} from './job-outcome.js';
 import type {JobTable} from './job-table.js';
@@ -15,7 +15,7 @@
 type JobConclusionParts = {
 	readonly jobs: JobTable;
 	readonly owners: OwnerOrders;
-	readonly losses: LossBook;
+	readonly losses: LossHistory;
 	readonly clock: Clock;
 	readonly journal: Journal;
 	/** Has waiting tasks placed where they can be. */
--- a/src/features/dispatch/job-table.ts
+++ b/src/features/dispatch/job-table.ts
@@ -3,7 +3,7 @@
 import {jobOfTask} from '../../base/job-of-task.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {ProfileName} from '../../base/profile-name.js';
-import type {WantedRoom} from '../execution/wanted-room.js';
+import type {CapacityDemand} from '../execution/capacity-demand.js';
 import {FormerSubmissions} from './former-submissions.js';
 import type {RunningJob} from './running-job.js';
 import type {TaskSlot} from './task-slot.js';
@@ -27,8 +27,8 @@
 	}
 
 	/** The least that a waiting task of each service needs; empty where none waits. */
-	get wanted(): readonly WantedRoom[] {
-		const least = new Map<string, WantedRoom>();
+	get wanted(): readonly CapacityDemand[] {
+		const least = new Map<string, CapacityDemand>();
 		for (const running of this.#jobs.values()) {
 			const {service} = running.job.route;
 			const {need} = running.job.shape;
--- a/src/features/dispatch/request-of.ts
+++ b/src/features/dispatch/request-of.ts
@@ -13,9 +13,9 @@
 		queue: job.route.queue,
 		service: job.route.service,
 		place: job.shape.place,
-		isNearOnly: false,
-		avoid: [...slot.avoid],
-		jobTasks: job.shape.count,
+		requiresNearData: false,
+		excludedTargets: [...slot.avoid],
+		jobTaskCount: job.shape.count,
 		expectedMilliseconds,
 	};
 }
--- a/src/features/dispatch/task-placer.ts
+++ b/src/features/dispatch/task-placer.ts
@@ -74,7 +74,7 @@
 			return this.#start(job, slot, request, open);
 		}
 
-		return this.#start(job, slot, {...request, isNearOnly: true}, open) || (job.takesFar && this.#start(job, slot, request, open));
+		return this.#start(job, slot, {...request, requiresNearData: true}, open) || (job.takesFar && this.#start(job, slot, request, open));
 	}
 
 	#start(job: RunningJob, slot: TaskSlot, request: RunRequest, open: readonly OpenShare[]): boolean {
--- a/src/features/execution/choose-target.ts
+++ b/src/features/execution/choose-target.ts
@@ -2,8 +2,8 @@
 import {jobOfTask} from '../../base/job-of-task.js';
 import type {Resources} from '../../base/resources.js';
 import type {TargetHealth} from '../placement/target-health.js';
-import {isPlaceFor} from './is-place-for.js';
-import type {LossBook} from './loss-book.js';
+import {satisfiesConstraints} from './satisfies-constraints.js';
+import type {LossHistory} from './loss-history.js';
 import type {RunRequest} from './run-request.js';
 import type {TargetSession} from './target-session.js';
 
@@ -11,7 +11,7 @@
 const probeJobTasks = 2;
 
 /** What is known of targets and tasks beside room; the time is monotonic. */
-type Knowledge = {readonly health: TargetHealth; readonly losses: LossBook; readonly now: number};
+type Knowledge = {readonly health: TargetHealth; readonly losses: LossHistory; readonly now: number};
 
 /**
  * Best fit: the target with the least room left keeps whole targets free for wide tasks. A task that was lost with a target
@@ -37,17 +37,17 @@
 
 function suits(session: TargetSession, request: RunRequest, room: Resources, {health, now}: Knowledge): boolean {
 	const {target} = session;
-	const isKind = target.service === request.service && isPlaceFor(request, target.labels);
-	if (!isKind || !session.isOpen || !request.need.fitsInto(room) || request.avoid.includes(target.id) || session.isFullOfJob(request)) {
+	const isKind = target.service === request.service && satisfiesConstraints(request, target.labels);
+	if (!isKind || !session.isOpen || !request.need.fitsInto(room) || request.excludedTargets.includes(target.id) || session.isFullOfJob(request)) {
 		return false;
 	}
 
 	const condition = health.condition(target.id, now);
-	return condition === 'probe' ? request.jobTasks <= probeJobTasks : condition !== 'out';
+	return condition === 'probe' ? request.jobTaskCount <= probeJobTasks : condition !== 'out';
 }
 
 /** For a task that was lost, the runs of other jobs beside it; for a sound one, those of them that were lost. */
-function companyOf(session: TargetSession, {task}: RunRequest, losses: LossBook): number {
+function companyOf(session: TargetSession, {task}: RunRequest, losses: LossHistory): number {
 	if (losses.isEmpty) {
 		return 0;
 	}
--- a/src/features/execution/executor.ts
+++ b/src/features/execution/executor.ts
@@ -14,9 +14,9 @@
 import {chooseTarget} from './choose-target.js';
 import type {ExecutionReport} from './execution-report.js';
 import type {Handover} from './handover.js';
-import type {LossBook} from './loss-book.js';
+import type {LossHistory} from './loss-history.js';
 import type {OwnedTarget} from './owned-target.js';
-import type {RoomShare} from './room-share.js';
+import type {FreeCapacity} from './free-capacity.js';
 import type {Run} from './run.js';
 import type {RunOutcome} from './run-outcome.js';
 import type {RunRequest} from './run-request.js';
@@ -32,7 +32,7 @@
 	readonly leaseMilliseconds: number;
 	readonly orders: TargetOrders;
 	readonly health: TargetHealth;
-	readonly losses: LossBook;
+	readonly losses: LossHistory;
 	readonly clock: Clock;
 	readonly journal: Journal;
 };
@@ -80,7 +80,7 @@
 	}
 
 	/** Fires when there may be more room than before. */
-	get onDidChangeRoom() {
+	get onDidChangeFreeCapacity() {
 		return this.#change.event;
 	}
 
@@ -94,7 +94,7 @@
 	}
 
 	/** The room of each target that takes any task now; one that is to be probed is left to this entry's own jobs. */
-	get room(): readonly RoomShare[] {
+	get freeCapacity(): readonly FreeCapacity[] {
 		const now = this.parts.clock.now();
 		return [...this.#sessions]
 			.filter(session => session.isOpen && ['fit', 'slow'].includes(this.parts.health.condition(session.target.id, now)))
@@ -128,7 +128,7 @@
 	}
 
 	/** Keeps a former owner's word until the target is this entry's. */
-	expect(handover: Handover): void {
+	receiveHandover(handover: Handover): void {
 		this.#sessions.expect(handover);
 	}
 
@@ -166,7 +166,7 @@
 	}
 
 	/** Asks all targets what runs there, and what time it is by their clocks. */
-	look(): void {
+	pollTargets(): void {
 		for (const session of this.#sessions) {
 			session.look();
 		}
@@ -237,7 +237,7 @@
 			runMilliseconds: now - run.startedAt,
 			expectedMilliseconds: run.slowdown * run.request.expectedMilliseconds,
 			job: jobOfTask(run.request.task),
-			hasFailedElsewhere: run.request.avoid.length > 0,
+			hasFailedElsewhere: run.request.excludedTargets.length > 0,
 		};
 		if (outcome.kind === 'done') {
 			health.report({...end, outcome: 'result'}, now);
--- a/src/features/execution/overdue-of.ts
+++ b/src/features/execution/find-overdue-runs.ts
@@ -19,7 +19,7 @@
 };
 
 /** Only what was running at the time of the report counts, and only by how long it had run then. */
-export function overdueOf(runs: Iterable<Run>, reportedAt: number): Findings {
+export function findOverdueRuns(runs: Iterable<Run>, reportedAt: number): Findings {
 	const suspects = [...runs].filter(run => run.state === 'running' && isOver(run, reportedAt, suspectFactor));
 	const overdue = suspects.length >= overdueToBlame ? suspects : suspects.filter(run => isOver(run, reportedAt, overdueFactor));
 	return {suspects, overdue};
--- a/src/features/execution/loss-book.ts
+++ b/src/features/execution/loss-history.ts
@@ -37,23 +37,23 @@
  * to blame: only those count of which the target had said that they were started. That a silent target has crashed, and wasn't
  * only cut off, shows some seconds later, when it reports as another life.
  */
-export class LossBook {
+export class LossHistory {
 	readonly #tasks = new Map<TaskId, LostTask>();
-	readonly #note = new Emitter<TargetLoss>();
-	readonly #bar = new Emitter<TaskId>();
+	readonly #recorded = new Emitter<TargetLoss>();
+	readonly #blockedTask = new Emitter<TaskId>();
 	/** When any task was lost last; monotonic. */
 	#lostAt = Number.NEGATIVE_INFINITY;
 
 	constructor(private readonly clock: Clock, private readonly journal: Journal) {}
 
 	/** Fires with what this entry has found out itself, for the others. */
-	get onDidNote() {
-		return this.#note.event;
+	get onDidRecord() {
+		return this.#recorded.event;
 	}
 
 	/** Fires when a task may not be started any more, or not for now. */
-	get onDidBar() {
-		return this.#bar.event;
+	get onDidBlockTask() {
+		return this.#blockedTask.event;
 	}
 
 	/** Whether all tasks are sound: most of the time, and then nobody needs to ask for each. */
@@ -77,42 +77,42 @@
 	}
 
 	/** Takes that a target of this entry was lost with some tasks. */
-	note(loss: TargetLoss): void {
+	record(loss: TargetLoss): void {
 		if (loss.tasks.length > 0) {
-			this.take(loss);
-			this.#note.fire(loss);
+			this.apply(loss);
+			this.#recorded.fire(loss);
 		}
 	}
 
 	/** A target of this entry answers, after it was silent or for the first time: it shows what became of it meanwhile. */
-	noteAnswer(target: InstanceId, incarnation: Incarnation | undefined): void {
+	recordAnswer(target: InstanceId, incarnation: Incarnation | undefined): void {
 		const open = this.#openLossAt(target);
 		if (open !== undefined) {
 			// An owner that never heard of the target before it lost it can't tell one life from the next.
 			const isNextLife = open.incarnation !== undefined && open.incarnation !== incarnation;
 			const loss: TargetLoss = {
-				target, incarnation, news: isNextLife ? 'down' : 'back', tasks: [],
+				target, incarnation, status: isNextLife ? 'down' : 'back', tasks: [],
 			};
-			this.take(loss);
-			this.#note.fire(loss);
+			this.apply(loss);
+			this.#recorded.fire(loss);
 		}
 	}
 
 	/** Takes what an entry has found out. */
-	take({target, incarnation, news, tasks}: TargetLoss): void {
+	apply({target, incarnation, status, tasks}: TargetLoss): void {
 		const changed = new Set<TaskId>(tasks);
-		if (news === 'down' || news === 'back') {
+		if (status === 'down' || status === 'back') {
 			for (const [task, lost] of this.#tasks) {
-				if (settle(lost, target, news)) {
+				if (settle(lost, target, status)) {
 					changed.add(task);
 				}
 			}
 		}
 
-		if (news !== 'back') {
+		if (status !== 'back') {
 			for (const task of tasks) {
 				this.#lose(task, {
-					target, incarnation, at: this.clock.now(), kind: lossKinds[news],
+					target, incarnation, at: this.clock.now(), kind: lossKinds[status],
 				});
 			}
 		}
@@ -125,7 +125,7 @@
 			const condition = this.conditionOf(task);
 			if (condition === 'hopeless' || condition === 'suspended') {
 				this.journal.record('taskBarred', {task, condition, targets: this.#tasks.get(task)?.losses.map(loss => loss.target).join(' ')});
-				this.#bar.fire(task);
+				this.#blockedTask.fire(task);
 			}
 		}
 	}
@@ -165,10 +165,10 @@
 }
 
 /** A silent target has shown what became of it; whether that says something of the task. */
-function settle({losses}: LostTask, target: InstanceId, news: 'down' | 'back'): boolean {
+function settle({losses}: LostTask, target: InstanceId, status: 'down' | 'back'): boolean {
 	const open = losses.filter(loss => loss.target === target && loss.kind !== 'crash');
 	for (const loss of open) {
-		if (news === 'back') {
+		if (status === 'back') {
 			losses.splice(losses.indexOf(loss), 1);
 		} else if (loss.kind === 'silent') {
 			loss.kind = 'crash';
--- a/src/features/execution/task-place.ts
+++ b/src/features/execution/placement-constraints.ts
@@ -1,7 +1,7 @@
 /** Where a task may run, and where it had better. */
 
 /** The same for all tasks of a job. */
-export type TaskPlace = {
+export type PlacementConstraints = {
 	/** A label that the target must have. */
 	readonly label: string | undefined;
 	/** The label of the targets near the task's data. */
@@ -9,5 +9,5 @@
 	/** So many times as long it takes on any other target. */
 	readonly farFactor: number;
 	/** So many tasks of the job at most run on one target at a time. */
-	readonly mostOnTarget: number | undefined;
+	readonly maxTasksPerTarget: number | undefined;
 };
--- a/src/features/execution/renewal-plan.ts
+++ b/src/features/execution/renewal-plan.ts
@@ -2,7 +2,7 @@
 import type {RunEnd} from '../targets/run-end.js';
 import type {LeaseSchedule} from './lease-schedule.js';
 import type {RunTable} from './run-table.js';
-import type {StrangerRuns} from './stranger-runs.js';
+import type {UnknownRuns} from './unknown-runs.js';
 
 /**
  * How long a target waits for an end before it answers a renewal. A lost renewal hides the target's ends for this and the
@@ -23,7 +23,7 @@
 	#acknowledged = 0;
 	#unanswered = 0;
 
-	constructor(private readonly lease: LeaseSchedule, private readonly runs: RunTable, private readonly strangers: StrangerRuns) {}
+	constructor(private readonly lease: LeaseSchedule, private readonly runs: RunTable, private readonly strangers: UnknownRuns) {}
 
 	get isReachable(): boolean {
 		return this.#unanswered < unansweredToSuspend;
--- a/src/features/execution/renewals.ts
+++ b/src/features/execution/renewals.ts
@@ -10,7 +10,7 @@
 import type {RunTable} from './run-table.js';
 import type {SessionListener} from './session-listener.js';
 import type {SessionOrders} from './session-orders.js';
-import type {StepCount} from './step-count.js';
+import type {StepCounter} from './step-counter.js';
 import type {TargetReports} from './target-reports.js';
 
 /** Between renewals of a target that doesn't answer. */
@@ -24,7 +24,7 @@
 	readonly plan: RenewalPlan;
 	readonly reports: TargetReports;
 	readonly settlement: RunSettlement;
-	readonly steps: StepCount;
+	readonly steps: StepCounter;
 	readonly clock: Clock;
 	readonly journal: Journal;
 	readonly listener: SessionListener;
--- a/src/features/execution/answer-times.ts
+++ b/src/features/execution/response-times.ts
@@ -15,7 +15,7 @@
  * and a short task that waits too long for it misses its objective. An entry that is slow itself, or far from its targets,
  * measures longer times and waits longer.
  */
-export class AnswerTimes {
+export class ResponseTimes {
 	#samples = 0;
 	#mean = 0;
 	#deviation = 0;
--- a/src/features/execution/run-control.ts
+++ b/src/features/execution/run-control.ts
@@ -12,7 +12,7 @@
 import type {RunTable} from './run-table.js';
 import type {Run} from './run.js';
 import type {SessionOrders} from './session-orders.js';
-import type {StepCount} from './step-count.js';
+import type {StepCounter} from './step-counter.js';
 import type {TargetReports} from './target-reports.js';
 
 /** Between two tries to stop a run, whose task can't be begun elsewhere before one of them is accepted. */
@@ -25,7 +25,7 @@
 	readonly lease: LeaseSchedule;
 	readonly reports: TargetReports;
 	readonly settlement: RunSettlement;
-	readonly steps: StepCount;
+	readonly steps: StepCounter;
 	readonly clock: Clock;
 	readonly journal: Journal;
 	/** The target doesn't take orders with this token or at this address any more. */
--- a/src/features/execution/run-request.ts
+++ b/src/features/execution/run-request.ts
@@ -3,7 +3,7 @@
 import type {Resources} from '../../base/resources.js';
 import type {ServiceName} from '../../base/service-name.js';
 import type {TaskId} from '../../base/task-id.js';
-import type {TaskPlace} from './task-place.js';
+import type {PlacementConstraints} from './placement-constraints.js';
 
 /** One attempt of one task. `avoid` lists targets that an earlier attempt failed on. */
 export type RunRequest = {
@@ -13,12 +13,12 @@
 	readonly need: Resources;
 	readonly queue: ProfileName;
 	readonly service: ServiceName;
-	readonly place: TaskPlace;
+	readonly place: PlacementConstraints;
 	/** It's not to be started far from its data. */
-	readonly isNearOnly: boolean;
-	readonly avoid: readonly string[];
+	readonly requiresNearData: boolean;
+	readonly excludedTargets: readonly string[];
 	/** How many tasks the job has: all of them wait for the last one. */
-	readonly jobTasks: number;
+	readonly jobTaskCount: number;
 	/** What the run is expected to take, in milliseconds. */
 	readonly expectedMilliseconds: number;
 };
--- a/src/features/execution/run-settlement.ts
+++ b/src/features/execution/run-settlement.ts
@@ -43,11 +43,11 @@
 	}
 
 	/** Tells which tasks are lost with the target; one that it has never said to have started may not be to blame for its end. */
-	lose(news: 'silent' | 'down', incarnation: Incarnation | undefined, runs: readonly Run[]): void {
+	lose(status: 'silent' | 'down', incarnation: Incarnation | undefined, runs: readonly Run[]): void {
 		const {onDidLose} = this.parts.listener;
 		const begun = runs.filter(run => run.confirmedAtStep !== undefined);
 		const unsure = runs.filter(run => run.confirmedAtStep === undefined);
-		onDidLose(news, incarnation, begun.map(({request}) => request.task));
+		onDidLose(status, incarnation, begun.map(({request}) => request.task));
 		onDidLose('unsure', incarnation, unsure.map(({request}) => request.task));
 	}
 }
--- a/src/features/execution/session-listener.ts
+++ b/src/features/execution/session-listener.ts
@@ -13,7 +13,7 @@
 	/** The target started again under its id: what was found out about it before doesn't hold any more. */
 	readonly onDidRestart: () => void;
 	/** These tasks are lost with the target, which has crashed or has been silent for longer than its lease. */
-	readonly onDidLose: (news: 'silent' | 'down' | 'unsure', incarnation: Incarnation | undefined, tasks: readonly TaskId[]) => void;
+	readonly onDidLose: (status: 'silent' | 'down' | 'unsure', incarnation: Incarnation | undefined, tasks: readonly TaskId[]) => void;
 	/** The target answers for the first time, again, or in another life. */
 	readonly onDidAnswer: (incarnation: Incarnation | undefined) => void;
 	/** The target's clock has gone on by so much more than this entry's. */
--- a/src/features/execution/session-orders.ts
+++ b/src/features/execution/session-orders.ts
@@ -8,14 +8,14 @@
 import type {StopReply} from '../targets/stop-reply.js';
 import type {TargetOrders} from '../targets/target-orders.js';
 import type {TargetRecord} from '../targets/target-record.js';
-import type {AnswerTimes} from './answer-times.js';
+import type {ResponseTimes} from './response-times.js';
 import type {RunRequest} from './run-request.js';
 
 /** What the orders work with. */
 type SessionOrdersParts = {
 	readonly orders: TargetOrders;
 	/** Of all targets together: what is slow about an entry is slow for each of them. */
-	readonly answerTimes: AnswerTimes;
+	readonly answerTimes: ResponseTimes;
 	readonly clock: Clock;
 };
 
--- a/src/features/execution/session-parts.ts
+++ b/src/features/execution/session-parts.ts
@@ -4,7 +4,7 @@
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {TargetOrders} from '../targets/target-orders.js';
 import type {TargetRecord} from '../targets/target-record.js';
-import type {AnswerTimes} from './answer-times.js';
+import type {ResponseTimes} from './response-times.js';
 import type {SessionListener} from './session-listener.js';
 
 export type SessionParts = {
@@ -12,7 +12,7 @@
 	readonly fence: FencingToken;
 	readonly leaseMilliseconds: number;
 	readonly orders: TargetOrders;
-	readonly answerTimes: AnswerTimes;
+	readonly answerTimes: ResponseTimes;
 	readonly clock: Clock;
 	readonly journal: Journal;
 	readonly listener: SessionListener;
--- a/src/features/execution/target-loss.ts
+++ b/src/features/execution/target-loss.ts
@@ -13,7 +13,7 @@
 	readonly target: InstanceId;
 	/** The life that was lost, or the one that answers now; nothing where the platform doesn't state it. */
 	readonly incarnation: Incarnation | undefined;
-	readonly news: 'silent' | 'down' | 'unsure' | 'back';
+	readonly status: 'silent' | 'down' | 'unsure' | 'back';
 	/** What ran there and is lost. */
 	readonly tasks: readonly TaskId[];
 };
--- a/src/features/execution/target-reports.ts
+++ b/src/features/execution/target-reports.ts
@@ -14,8 +14,8 @@
 import type {RunTable} from './run-table.js';
 import type {SessionListener} from './session-listener.js';
 import type {SessionOrders} from './session-orders.js';
-import type {StepCount} from './step-count.js';
-import type {StrangerRuns} from './stranger-runs.js';
+import type {StepCounter} from './step-counter.js';
+import type {UnknownRuns} from './unknown-runs.js';
 
 type Report = Extract<RenewalReply, {kind: 'report'}>;
 
@@ -24,10 +24,10 @@
 	readonly runs: RunTable;
 	readonly orders: SessionOrders;
 	readonly lease: LeaseSchedule;
-	readonly strangers: StrangerRuns;
+	readonly strangers: UnknownRuns;
 	readonly plan: RenewalPlan;
 	readonly settlement: RunSettlement;
-	readonly steps: StepCount;
+	readonly steps: StepCounter;
 	readonly clock: Clock;
 	readonly journal: Journal;
 	readonly listener: SessionListener;
--- a/src/features/execution/target-session.ts
+++ b/src/features/execution/target-session.ts
@@ -9,7 +9,7 @@
 import type {TargetRecord} from '../targets/target-record.js';
 import type {Handover} from './handover.js';
 import {LeaseSchedule} from './lease-schedule.js';
-import {overdueOf} from './overdue-of.js';
+import {findOverdueRuns} from './find-overdue-runs.js';
 import {RenewalPlan} from './renewal-plan.js';
 import {Renewals} from './renewals.js';
 import {RunControl} from './run-control.js';
@@ -20,8 +20,8 @@
 import {SessionOrders} from './session-orders.js';
 import type {SessionParts} from './session-parts.js';
 import {slowdownOf} from './slowdown-of.js';
-import {StepCount} from './step-count.js';
-import {StrangerRuns} from './stranger-runs.js';
+import {StepCounter} from './step-counter.js';
+import {UnknownRuns} from './unknown-runs.js';
 import {TargetReports} from './target-reports.js';
 
 /**
@@ -32,13 +32,13 @@
 	readonly #runs: RunTable;
 	readonly #orders: SessionOrders;
 	readonly #lease: LeaseSchedule;
-	readonly #strangers: StrangerRuns;
+	readonly #strangers: UnknownRuns;
 	readonly #plan: RenewalPlan;
 	readonly #settlement: RunSettlement;
 	readonly #reports: TargetReports;
 	readonly #control: RunControl;
 	readonly #renewals: Renewals;
-	readonly #steps = new StepCount();
+	readonly #steps = new StepCounter();
 	readonly #closing = new CancellationSource();
 	#isPaused = false;
 	#hasOverdue = false;
@@ -48,7 +48,7 @@
 		const {token} = this.#closing;
 		this.#orders = new SessionOrders(parts, target, fence);
 		this.#runs = new RunTable(target.capacity);
-		this.#strangers = new StrangerRuns(clock.now());
+		this.#strangers = new UnknownRuns(clock.now());
 		this.#lease = new LeaseSchedule(leaseMilliseconds);
 		this.#plan = new RenewalPlan(this.#lease, this.#runs, this.#strangers);
 		const lasting = {
@@ -109,7 +109,7 @@
 	 * Only what the target itself has reported counts: while its answers are lost, runs that have ended seem to go on.
 	 */
 	findOverdue(): readonly Run[] {
-		const {suspects, overdue} = overdueOf(this.#runs, this.#reports.newestAt);
+		const {suspects, overdue} = findOverdueRuns(this.#runs, this.#reports.newestAt);
 		this.#hasOverdue = suspects.length > 0;
 		return overdue;
 	}
@@ -138,7 +138,7 @@
 
 	/** Whether as many tasks of its job run here as may. */
 	isFullOfJob({place, task}: RunRequest): boolean {
-		return place.mostOnTarget !== undefined && this.#runs.countOfJob(jobOfTask(task)) >= place.mostOnTarget;
+		return place.maxTasksPerTarget !== undefined && this.#runs.countOfJob(jobOfTask(task)) >= place.maxTasksPerTarget;
 	}
 
 	/** Takes the former owner's runs as its own; the next report shows which of them still run. */
--- a/src/features/execution/target-sessions.ts
+++ b/src/features/execution/target-sessions.ts
@@ -10,9 +10,9 @@
 import type {TargetOrders} from '../targets/target-orders.js';
 import type {TargetRecord} from '../targets/target-record.js';
 import type {Adoption} from './adoption.js';
-import {AnswerTimes} from './answer-times.js';
+import {ResponseTimes} from './response-times.js';
 import type {Handover} from './handover.js';
-import type {LossBook} from './loss-book.js';
+import type {LossHistory} from './loss-history.js';
 import type {OwnedTarget} from './owned-target.js';
 import type {RunOutcome} from './run-outcome.js';
 import type {Run} from './run.js';
@@ -29,7 +29,7 @@
 	readonly leaseMilliseconds: number;
 	readonly orders: TargetOrders;
 	readonly health: TargetHealth;
-	readonly losses: LossBook;
+	readonly losses: LossHistory;
 	readonly clock: Clock;
 	readonly journal: Journal;
 	readonly listener: {
@@ -51,7 +51,7 @@
 	readonly #handovers = new Map<InstanceId, ReceivedHandover>();
 	readonly #adopt = new Emitter<Adoption>();
 	readonly #willRelease = new Emitter<Run>();
-	readonly #answerTimes = new AnswerTimes();
+	readonly #answerTimes = new ResponseTimes();
 
 	constructor(private readonly parts: TargetSessionsParts) {}
 
@@ -104,7 +104,7 @@
 		const {id} = session.target;
 		this.#sessions.delete(id);
 		const handover = session.release();
-		this.parts.orders.forget(session.target);
+		this.parts.orders.disconnect(session.target);
 		this.parts.journal.record('targetReleased', {target: id, fence: session.fence, handedOver: handover.runs.length});
 		return handover;
 	}
@@ -172,13 +172,13 @@
 				onDidReport: () => {
 					this.parts.listener.onDidReport(session);
 				},
-				onDidLose: (news, incarnation, tasks) => {
-					this.parts.losses.note({
-						target: id, incarnation, news, tasks,
+				onDidLose: (status, incarnation, tasks) => {
+					this.parts.losses.record({
+						target: id, incarnation, status, tasks,
 					});
 				},
 				onDidAnswer: incarnation => {
-					this.parts.losses.noteAnswer(id, incarnation);
+					this.parts.losses.recordAnswer(id, incarnation);
 				},
 				onDidRestart: () => {
 					this.parts.health.forget(id);
@@ -207,14 +207,14 @@
 	#drop(id: InstanceId, session: TargetSession): void {
 		this.#sessions.delete(id);
 		session.abandon();
-		this.parts.orders.forget(session.target);
+		this.parts.orders.disconnect(session.target);
 		this.parts.journal.record('targetDropped', {target: id});
 	}
 
 	#sessionEnded(session: TargetSession, cause: 'fenced' | 'replaced'): void {
 		const {id} = session.target;
 		this.#sessions.delete(id);
-		this.parts.orders.forget(session.target);
+		this.parts.orders.disconnect(session.target);
 		if (cause === 'fenced') {
 			this.#fenced.set(id, session.fence);
 		}
--- a/src/features/execution/stranger-runs.ts
+++ b/src/features/execution/unknown-runs.ts
@@ -12,7 +12,7 @@
  * Runs of a former owner. While there are any, nothing is renewed and nothing is started: their jobs may have been submitted
  * again, and they must not go on beside that.
  */
-export class StrangerRuns {
+export class UnknownRuns {
 	#keys: ReadonlySet<string> = new Set();
 
 	constructor(private readonly openedAt: number) {}
--- a/src/features/ownership/ownership.ts
+++ b/src/features/ownership/ownership.ts
@@ -14,7 +14,7 @@
 import type {TargetOrders} from '../targets/target-orders.js';
 import type {TargetRecord} from '../targets/target-record.js';
 import type {ZoneEvacuations} from '../targets/zone-evacuations.js';
-import {endFormerLives} from './end-former-lives.js';
+import {removeFormerMembers} from './remove-former-members.js';
 import {GroupMember} from './group-member.js';
 import type {PartitionGroup} from './partition-group.js';
 
@@ -64,7 +64,7 @@
 	}
 
 	/** Joins the groups of its own zone and of the zones to cover, and leaves the others. */
-	cover(zones: ReadonlySet<AvailabilityZone>): void {
+	coverZones(zones: ReadonlySet<AvailabilityZone>): void {
 		if (!this.#members.has(this.parts.zone)) {
 			this.#join(this.parts.zone);
 		}
@@ -148,7 +148,7 @@
 			const reply = await orders.renew(target, {
 				fence: lowestToken, acknowledged: 0, leaseUntil: undefined, waitMilliseconds: 0, limitMilliseconds: signLimitMilliseconds,
 			});
-			orders.forget(target);
+			orders.disconnect(target);
 			return reply.kind !== 'unreachable' && reply.kind !== 'unanswered';
 		}));
 		return answers.some(Boolean);
@@ -182,7 +182,7 @@
 	/** What a former life of this entry held is free now, and not only after its time to live. */
 	async #takeOver(zone: AvailabilityZone, joined: GroupMember): Promise<void> {
 		const {store, journal} = this.parts;
-		const hadFormer = await endFormerLives({group: groupOf(zone), member: this.#name}, store, journal);
+		const hadFormer = await removeFormerMembers({group: groupOf(zone), member: this.#name}, store, journal);
 		if (hadFormer) {
 			joined.renew();
 		}
--- a/src/features/ownership/end-former-lives.ts
+++ b/src/features/ownership/remove-former-members.ts
@@ -14,7 +14,7 @@
  * its targets until its time to live is over: after all entries were killed and had started again, callers were refused for
  * want of targets for half a second. Whoever listens at an address knows that all former lives there have ended.
  */
-export async function endFormerLives({group, member}: NewLife, store: PartitionGroup, journal: Journal): Promise<boolean> {
+export async function removeFormerMembers({group, member}: NewLife, store: PartitionGroup, journal: Journal): Promise<boolean> {
 	const address = member.slice(0, member.lastIndexOf(separator) + 1);
 	if (address === '') {
 		return false;
--- a/src/features/pool/decode-messages.ts
+++ b/src/features/pool/decode-messages.ts
@@ -9,7 +9,7 @@
 import type {ServiceName} from '../../base/service-name.js';
 import type {TaskId} from '../../base/task-id.js';
 import type {RunOutcome} from '../execution/run-outcome.js';
-import type {TaskPlace} from '../execution/task-place.js';
+import type {PlacementConstraints} from '../execution/placement-constraints.js';
 import type {TargetLoss} from '../execution/target-loss.js';
 import type {RunRequest} from '../execution/run-request.js';
 import type {EntryState} from './entry-state.js';
@@ -160,17 +160,17 @@
 		queue: values.text<ProfileName>(),
 		service: values.text<ServiceName>(),
 		place: decodePlace(values),
-		isNearOnly: values.flag(),
-		avoid: values.texts(),
-		jobTasks: values.number(),
+		requiresNearData: values.flag(),
+		excludedTargets: values.texts(),
+		jobTaskCount: values.number(),
 		expectedMilliseconds: values.number(),
 	};
 }
 
-function decodePlace(values: EncodedValues): TaskPlace {
+function decodePlace(values: EncodedValues): PlacementConstraints {
 	const [label, nearLabel, farFactor, most] = [values.optionalText(), values.optionalText(), values.number(), values.number()];
 	return {
-		label, nearLabel, farFactor, mostOnTarget: most === unstated ? undefined : most,
+		label, nearLabel, farFactor, maxTasksPerTarget: most === unstated ? undefined : most,
 	};
 }
 
@@ -180,7 +180,7 @@
 	}
 
 	return {
-		...previous, task: values.text<TaskId>(), attempt: values.number(), avoid: values.texts(),
+		...previous, task: values.text<TaskId>(), attempt: values.number(), excludedTargets: values.texts(),
 	};
 }
 
@@ -225,7 +225,7 @@
 	}
 
 	return {
-		target, incarnation: incarnation === unstated ? undefined : incarnation as Incarnation, news, tasks: values.rest().map(task => task as TaskId),
+		target, incarnation: incarnation === unstated ? undefined : incarnation as Incarnation, status: news, tasks: values.rest().map(task => task as TaskId),
 	};
 }
 
--- a/src/features/pool/encode-messages.ts
+++ b/src/features/pool/encode-messages.ts
@@ -25,7 +25,7 @@
 		const {request} = message;
 		const isSameJob = previous !== undefined && haveJobInCommon(previous, request);
 		previous = request;
-		return isSameJob ? [messageCode.nextRun, request.task, request.attempt, request.avoid] : [messageCode.run, ...encodeRequest(request)];
+		return isSameJob ? [messageCode.nextRun, request.task, request.attempt, request.excludedTargets] : [messageCode.run, ...encodeRequest(request)];
 	});
 }
 
@@ -41,7 +41,7 @@
 		]), requesters.map(({member: {id, instance, zone, peerAddress}, silentMilliseconds}) => [id, instance, zone, peerAddress, silentMilliseconds])])
 		.with({kind: 'adopted'}, ({task, attempt}) => [messageCode.adopted, task, attempt])
 		.with({kind: 'adoptionHeard'}, ({task, attempt}) => [messageCode.adoptionHeard, task, attempt])
-		.with({kind: 'loss'}, ({loss: {target, incarnation, news, tasks}}) => [messageCode.loss, target, incarnation ?? unstated, news, ...tasks])
+		.with({kind: 'loss'}, ({loss: {target, incarnation, status, tasks}}) => [messageCode.loss, target, incarnation ?? unstated, status, ...tasks])
 		.with({kind: 'askList'}, ({question: {question, from}}) => [messageCode.askList, question, from ?? unstated])
 		.with({kind: 'list'}, ({passage: {question, from, next, records}}) => [messageCode.list, question, from ?? unstated, next, records])
 		.with({kind: 'wantRouting'}, () => [messageCode.wantRouting])
@@ -69,10 +69,10 @@
 		request.place.label,
 		request.place.nearLabel,
 		request.place.farFactor,
-		request.place.mostOnTarget ?? unstated,
-		request.isNearOnly,
-		request.avoid,
-		request.jobTasks,
+		request.place.maxTasksPerTarget ?? unstated,
+		request.requiresNearData,
+		request.excludedTargets,
+		request.jobTaskCount,
 		request.expectedMilliseconds,
 	];
 }
@@ -97,7 +97,7 @@
 		&& left.queue === right.queue
 		&& left.service === right.service
 		&& left.place === right.place
-		&& left.isNearOnly === right.isNearOnly
-		&& left.jobTasks === right.jobTasks
+		&& left.requiresNearData === right.requiresNearData
+		&& left.jobTaskCount === right.jobTaskCount
 		&& left.expectedMilliseconds === right.expectedMilliseconds;
 }
--- a/src/features/pool/entry-state.ts
+++ b/src/features/pool/entry-state.ts
@@ -1,13 +1,13 @@
 /** What an entry tells of itself. */
-import type {RoomShare} from '../execution/room-share.js';
-import type {WantedRoom} from '../execution/wanted-room.js';
+import type {FreeCapacity} from '../execution/free-capacity.js';
+import type {CapacityDemand} from '../execution/capacity-demand.js';
 
 /** Sent to all other entries regularly, as a heartbeat. */
 export type EntryState = {
 	readonly isLeaving: boolean;
 	readonly routingVersion: number;
 	/** What its waiting tasks need at least; empty where none waits. */
-	readonly wanted: readonly WantedRoom[];
+	readonly wanted: readonly CapacityDemand[];
 	/** The room of each target that takes new tasks. */
-	readonly room: readonly RoomShare[];
+	readonly room: readonly FreeCapacity[];
 };
--- a/src/features/pool/places-for.ts
+++ b/src/features/pool/places-for.ts
@@ -1,8 +1,8 @@
 /** Whether room is of use to somebody. */
-import type {RoomShare} from '../execution/room-share.js';
-import type {WantedRoom} from '../execution/wanted-room.js';
+import type {FreeCapacity} from '../execution/free-capacity.js';
+import type {CapacityDemand} from '../execution/capacity-demand.js';
 
 /** How many targets could take a task of those that are waited for. */
-export function placesFor(wanted: readonly WantedRoom[], room: readonly RoomShare[]): number {
+export function placesFor(wanted: readonly CapacityDemand[], room: readonly FreeCapacity[]): number {
 	return room.filter(share => wanted.some(({service, need}) => service === share.service && need.fitsInto(share.room))).length;
 }
--- a/src/features/pool/pool-member.ts
+++ b/src/features/pool/pool-member.ts
@@ -1,11 +1,11 @@
 /** Another entry, as this one last heard of it. */
 import type {Member} from '../../runtime/peers/member.js';
-import type {RoomShare} from '../execution/room-share.js';
-import type {WantedRoom} from '../execution/wanted-room.js';
+import type {FreeCapacity} from '../execution/free-capacity.js';
+import type {CapacityDemand} from '../execution/capacity-demand.js';
 import type {HeartbeatRhythm} from './heartbeat-rhythm.js';
 
 /** A target's room, as it's known here. */
-type KnownShare = Omit<RoomShare, 'room'> & {room: RoomShare['room']};
+type KnownShare = Omit<FreeCapacity, 'room'> & {room: FreeCapacity['room']};
 
 /** `room` is what the member told last, less what was sent there since. */
 export type PoolMember = {
@@ -26,6 +26,6 @@
 	/** How often it was told of room here since it said last what it waits for. */
 	offers: number;
 	/** What its waiting tasks need at least, on any entry's targets. */
-	wanted: readonly WantedRoom[];
+	wanted: readonly CapacityDemand[];
 	room: KnownShare[];
 };
--- a/src/features/pool/remote-runs.ts
+++ b/src/features/pool/remote-runs.ts
@@ -100,7 +100,7 @@
 		}
 
 		for (const handover of message.kind === 'handover' ? message.handovers : []) {
-			this.executor.expect(handover);
+			this.executor.receiveHandover(handover);
 		}
 	}
 
--- a/src/features/targets/target-orders.ts
+++ b/src/features/targets/target-orders.ts
@@ -16,5 +16,5 @@
 	abstract renew(target: TargetRecord, order: RenewalOrder): Promise<RenewalReply>;
 
 	/** Closes the connections to a target that is no longer ordered from here. */
-	abstract forget(target: TargetRecord): void;
+	abstract disconnect(target: TargetRecord): void;
 }
--- a/test/entries/edge/near-data.test.ts
+++ b/test/entries/edge/near-data.test.ts
@@ -66,7 +66,7 @@
 test('no more tasks of a job run on one target than its caller allows', async () => {
 	const world = await worldWithRack(0);
 	world.submit('a-1', '0000000000000001', {
-		tasks: 6, payload: '300', declared: 300, place: {mostOnTarget: 1},
+		tasks: 6, payload: '300', declared: 300, place: {maxTasksPerTarget: 1},
 	});
 	await world.pass(50);
 	assert.equal(new Set(world.orders.starts.map(({target}) => target)).size, world.orders.starts.length);
--- a/test/entries/edge/pooled-entry-ownership.test.ts
+++ b/test/entries/edge/pooled-entry-ownership.test.ts
@@ -143,7 +143,7 @@
 	const requester = world.entries.get('b-1')!.pool.self;
 	world.kill('b-1');
 	const {executor} = world.entries.get('a-1')!;
-	executor.expect({
+	executor.receiveHandover({
 		target: 'a-target-0' as InstanceId,
 		runs: [{requester, request: firstTaskOfJob}],
 	});
--- a/test/features/execution/changing-capacity.test.ts
+++ b/test/features/execution/changing-capacity.test.ts
@@ -31,7 +31,7 @@
 	executor.start(requestOf('second', '300'), entry);
 	await passTime(clock, 20);
 	resize(32_000);
-	assert.equal(executor.room[0]!.room.cpuMillis < 0, true);
+	assert.equal(executor.freeCapacity[0]!.room.cpuMillis < 0, true);
 	await passTime(clock, 150);
 	assert.equal(executor.start(requestOf('early', '100'), entry), undefined);
 	await passTime(clock, 200);
@@ -69,7 +69,7 @@
 	await passTime(clock, 20);
 	assert.deepEqual(reports.map(({task, outcome}) => `${task} ${outcome.kind}`), ['second refused']);
 	assert.equal(executor.start(requestOf('third', '100'), entry), undefined);
-	assert.deepEqual(executor.room, []);
+	assert.deepEqual(executor.freeCapacity, []);
 	resize(65_000);
 	assert.equal(executor.start(requestOf('after news', '100'), entry), 'target');
 	await passTime(clock, 20);
--- a/test/features/execution/executor.test.ts
+++ b/test/features/execution/executor.test.ts
@@ -137,7 +137,7 @@
 	const target = targetNamed('target');
 	const handovers = await releaseDuringRun(world, first.executor, '1500');
 	for (const handover of handovers) {
-		second.executor.expect(handover);
+		second.executor.receiveHandover(handover);
 	}
 
 	await passTime(clock, 100);
@@ -200,7 +200,7 @@
 	assign(third.executor, target, 3);
 	await passTime(clock, 5);
 	for (const handover of handovers) {
-		second.executor.expect(handover);
+		second.executor.receiveHandover(handover);
 	}
 
 	assign(second.executor, target, 2);
@@ -219,7 +219,7 @@
 	const handovers = await releaseDuringRun(world, first.executor, '5000');
 	orders.behaviour.set(target.id, 'silent');
 	for (const handover of handovers) {
-		second.executor.expect(handover);
+		second.executor.receiveHandover(handover);
 	}
 
 	assign(second.executor, target, 2);
--- a/test/features/execution/answer-times.test.ts
+++ b/test/features/execution/response-times.test.ts
@@ -1,10 +1,10 @@
 /** The time limit of orders. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {AnswerTimes} from '../../../src/features/execution/answer-times.js';
+import {ResponseTimes} from '../../../src/features/execution/response-times.js';
 
 function limitAfter(milliseconds: readonly number[]): number {
-	const times = new AnswerTimes();
+	const times = new ResponseTimes();
 	for (const sample of milliseconds) {
 		times.record(sample);
 	}
@@ -29,7 +29,7 @@
 // An entry's machine turns five times slower: its own handling makes up most of what it measures. With the limit of before,
 // it would take every order for lost and stop what it has just started.
 test('the limit has followed before a tenth of the orders of a slowed entry were given up', () => {
-	const times = new AnswerTimes();
+	const times = new ResponseTimes();
 	for (const sample of repeated(100, 8, 12)) {
 		times.record(sample);
 	}
--- a/test/features/execution/restarted-target.test.ts
+++ b/test/features/execution/restarted-target.test.ts
@@ -85,7 +85,7 @@
 	const {executor, target} = await ownerOfBusyTarget(world);
 	const next = world.executorOf();
 	for (const handover of await executor.release(new Set([target.id]))) {
-		next.executor.expect(handover);
+		next.executor.receiveHandover(handover);
 	}
 
 	await restart(world);
--- a/test/features/ownership/end-former-lives.test.ts
+++ b/test/features/ownership/remove-former-members.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {OwnershipGroupName} from '../../../src/base/ownership-group-name.js';
-import {endFormerLives} from '../../../src/features/ownership/end-former-lives.js';
+import {removeFormerMembers} from '../../../src/features/ownership/remove-former-members.js';
 import {ModelGroup} from '../../support/model-group.js';
 import {RecordingJournal} from '../../support/recording-journal.js';
 
@@ -25,19 +25,19 @@
 test('an entry that starts again has its former life\'s targets at once', async () => {
 	const store = await groupOf([formerLife]);
 	assert.equal((await store.join(group, newLife, 0))!.partitions.size, 0);
-	assert.equal(await endFormerLives({group, member: newLife}, store, new RecordingJournal()), true);
+	assert.equal(await removeFormerMembers({group, member: newLife}, store, new RecordingJournal()), true);
 	assert.equal((await store.join(group, newLife, 100))!.partitions.size, store.partitionCount);
 });
 
 test('the places of other addresses, and its own, stay as they are', async () => {
 	const store = await groupOf([...others, newLife]);
 	const before = await store.holders(group);
-	assert.equal(await endFormerLives({group, member: newLife}, store, new RecordingJournal()), false);
+	assert.equal(await removeFormerMembers({group, member: newLife}, store, new RecordingJournal()), false);
 	assert.deepEqual(await store.holders(group), before);
 });
 
 test('while the store is away nothing is ended', async () => {
 	const store = await groupOf([formerLife]);
 	store.isAway = true;
-	assert.equal(await endFormerLives({group, member: newLife}, store, new RecordingJournal()), false);
+	assert.equal(await removeFormerMembers({group, member: newLife}, store, new RecordingJournal()), false);
 });
--- a/test/features/pool/messages.test.ts
+++ b/test/features/pool/messages.test.ts
@@ -22,7 +22,8 @@
 const need = new Resources(27_000, 64, 0);
 const task = 'job.0.0.0' as TaskId;
 const request: RunRequest = {
-	task, attempt: 1, payload: 'x'.repeat(500), need, queue: 'queue' as ProfileName, service, place: anyPlace, isNearOnly: false, avoid: ['target-1'], jobTasks: 3, expectedMilliseconds: 60,
+	task, attempt: 1, payload: 'x'.repeat(500), need, queue: 'queue' as ProfileName, service, place: anyPlace,
+	requiresNearData: false, excludedTargets: ['target-1'], jobTaskCount: 3, expectedMilliseconds: 60,
 };
 const messages: readonly PoolMessage[] = [
 	{
@@ -34,14 +35,14 @@
 	{kind: 'run', request},
 	{
 		kind: 'run', request: {
-			...request, task: 'job.0.0.1' as TaskId, attempt: 2, avoid: [],
+			...request, task: 'job.0.0.1' as TaskId, attempt: 2, excludedTargets: [],
 		},
 	},
 	{
 		kind: 'run', request: {
 			...request, task: 'other.0.0.0' as TaskId, place: {
-				...anyPlace, label: 'b', nearLabel: 'rack', farFactor: 2, mostOnTarget: 3,
-			}, isNearOnly: true, payload: 'other',
+				...anyPlace, label: 'b', nearLabel: 'rack', farFactor: 2, maxTasksPerTarget: 3,
+			}, requiresNearData: true, payload: 'other',
 		},
 	},
 	{
@@ -72,12 +73,12 @@
 	{kind: 'lost', member: 'entry#1' as MemberId},
 	{
 		kind: 'loss', loss: {
-			target: 'target-1' as InstanceId, incarnation: 1_700_000_000_000 as Incarnation, news: 'down', tasks: [task],
+			target: 'target-1' as InstanceId, incarnation: 1_700_000_000_000 as Incarnation, status: 'down', tasks: [task],
 		},
 	},
 	{
 		kind: 'loss', loss: {
-			target: 'target-1' as InstanceId, incarnation: undefined, news: 'back', tasks: [],
+			target: 'target-1' as InstanceId, incarnation: undefined, status: 'back', tasks: [],
 		},
 	},
 	{kind: 'wantRouting'},
--- a/test/platform/target-client.test.ts
+++ b/test/platform/target-client.test.ts
@@ -56,7 +56,7 @@
 	}]]);
 	const third = await client.renew(target, renewalOf(1, 0));
 	assert.deepEqual(third.kind === 'report' && third.ended, []);
-	client.forget(target);
+	client.disconnect(target);
 });
 
 test('each rejection of a target has its own kind', async () => {
@@ -88,14 +88,14 @@
 	await kindOf(startOf('e', {fence: 5}), {...target, id: 'i-0' as InstanceId});
 	await kindOf(startOf('e', {fence: 5}), {...target, id: 'i-9' as InstanceId, address: '127.0.0.1:1'});
 	assert.deepEqual(kinds, ['started', 'started', 'fenced', 'expired', 'started', 'noRoom', 'accepted', 'superseded', 'unhealthy', 'unanswered', 'unanswered', 'replaced', 'unreachable']);
-	client.forget(target);
+	client.disconnect(target);
 });
 
 test('a report names the life that it comes from', async () => {
 	const {worker, target, client} = await targetOf();
 	const report = await client.renew(target, renewalOf(0, 0));
 	assert.equal(report.kind === 'report' && report.incarnation, worker.born);
-	client.forget(target);
+	client.disconnect(target);
 });
 
 // A target started again under its id at another address, and all orders went on to the former one, where nobody listened.
@@ -104,7 +104,7 @@
 	const former = await client.renew({...target, address: '127.0.0.1:1'}, renewalOf(0, 0));
 	const next = await client.renew(target, renewalOf(0, 0));
 	assert.deepEqual([former.kind, next.kind], ['unreachable', 'report']);
-	client.forget(target);
+	client.disconnect(target);
 });
 
 // A start is carried out seconds after it was given up. The stop that the owner sent meanwhile has to bar it.
@@ -120,5 +120,5 @@
 	const report = await client.renew(target, renewalOf(0, 600));
 	assert.deepEqual(report.kind === 'report' && report.running, []);
 	assert.deepEqual(worker.starts, []);
-	client.forget(target);
+	client.disconnect(target);
 });
--- a/test/support/any-place.ts
+++ b/test/support/any-place.ts
@@ -1,6 +1,6 @@
 /** For tasks that may run anywhere. */
-import type {TaskPlace} from '../../src/features/execution/task-place.js';
+import type {PlacementConstraints} from '../../src/features/execution/placement-constraints.js';
 
-export const anyPlace: TaskPlace = {
-	label: undefined, nearLabel: undefined, farFactor: 1, mostOnTarget: undefined,
+export const anyPlace: PlacementConstraints = {
+	label: undefined, nearLabel: undefined, farFactor: 1, maxTasksPerTarget: undefined,
 };
--- a/test/support/entry-orders.ts
+++ b/test/support/entry-orders.ts
@@ -42,7 +42,7 @@
 		return this.#await(target.id, this.targets.renew(target, order), order.waitMilliseconds + order.limitMilliseconds);
 	}
 
-	override forget(): void {
+	override disconnect(): void {
 		// There are no connections.
 	}
 
--- a/test/support/executor-world.ts
+++ b/test/support/executor-world.ts
@@ -2,7 +2,7 @@
 import type {FencingToken} from '../../src/base/fencing-token.js';
 import {Executor} from '../../src/features/execution/executor.js';
 import type {ExecutionReport} from '../../src/features/execution/execution-report.js';
-import {LossBook} from '../../src/features/execution/loss-book.js';
+import {LossHistory} from '../../src/features/execution/loss-history.js';
 import {TargetHealth} from '../../src/features/placement/target-health.js';
 import type {TargetRecord} from '../../src/features/targets/target-record.js';
 import {FakeClock} from './fake-clock.js';
@@ -16,7 +16,7 @@
 	const journal = new RecordingJournal();
 	const executorOf = () => {
 		const executor = new Executor({
-			leaseMilliseconds: 1000, orders, health: new TargetHealth(journal), losses: new LossBook(clock, journal), clock, journal,
+			leaseMilliseconds: 1000, orders, health: new TargetHealth(journal), losses: new LossHistory(clock, journal), clock, journal,
 		});
 		const reports: ExecutionReport[] = [];
 		executor.onDidReport(report => {
--- a/test/support/model-targets.ts
+++ b/test/support/model-targets.ts
@@ -139,7 +139,7 @@
 		});
 	}
 
-	override forget(): void {
+	override disconnect(): void {
 		// There are no connections.
 	}
 
--- a/test/support/pausable-surroundings.ts
+++ b/test/support/pausable-surroundings.ts
@@ -195,8 +195,8 @@
 		return this.gate.pass(this.orders.renew(target, order));
 	}
 
-	override forget(target: TargetRecord): void {
-		this.orders.forget(target);
+	override disconnect(target: TargetRecord): void {
+		this.orders.disconnect(target);
 	}
 }
 
--- a/test/support/pooled-world.ts
+++ b/test/support/pooled-world.ts
@@ -15,7 +15,7 @@
 import {TargetCatalogue} from '../../src/features/targets/target-catalogue.js';
 import type {TargetRecord} from '../../src/features/targets/target-record.js';
 import {ZoneEvacuations} from '../../src/features/targets/zone-evacuations.js';
-import type {TaskPlace} from '../../src/features/execution/task-place.js';
+import type {PlacementConstraints} from '../../src/features/execution/placement-constraints.js';
 import {anyPlace} from './any-place.js';
 import {FakeClock} from './fake-clock.js';
 import {ModelGroup} from './model-group.js';
@@ -53,7 +53,7 @@
 	readonly declared?: number;
 	readonly patience?: number;
 	readonly attempts?: number;
-	readonly place?: Partial<TaskPlace>;
+	readonly place?: Partial<PlacementConstraints>;
 };
 
 /** What an entry here is built from. */
--- a/test/support/run-request-of.ts
+++ b/test/support/run-request-of.ts
@@ -16,9 +16,9 @@
 		queue: 'queue' as ProfileName,
 		service: 'service' as ServiceName,
 		place: anyPlace,
-		isNearOnly: false,
-		avoid: [],
-		jobTasks: 1,
+		requiresNearData: false,
+		excludedTargets: [],
+		jobTaskCount: 1,
 		expectedMilliseconds: Number(payload),
 	};
 }
