--- a/src/features/dispatch/choose-remote-target.ts
+++ b/src/features/dispatch/choose-remote-target.ts
@@ -1,7 +1,7 @@
 /** The choice among other entries' targets. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Random} from '../../base/random.js';
-import {isPlaceFor} from '../execution/is-place-for.js';
+import {satisfiesConstraints} from '../execution/satisfies-constraints.js';
 import type {RunRequest} from '../execution/run-request.js';
 import type {RemoteTarget} from './remote-target.js';
 
@@ -22,6 +22,6 @@
 
 function suits(share: RemoteTarget['target'], request: RunRequest): boolean {
 	return share.service === request.service
-		&& isPlaceFor(request, share.labels)
+		&& satisfiesConstraints(request, share.labels)
 		&& request.need.fitsInto(share.room);
 }
--- a/src/features/dispatch/request-of.ts
+++ b/src/features/dispatch/request-of.ts
@@ -13,9 +13,9 @@
 		queue: job.route.queue,
 		service: job.route.service,
 		place: job.shape.place,
-		isNearOnly: false,
-		avoid: [...slot.excludedTargets],
-		jobTasks: job.shape.count,
+		requiresNearData: false,
+		excludedTargets: [...slot.excludedTargets],
+		jobTaskCount: job.shape.count,
 		expectedMilliseconds,
 	};
 }
--- a/src/features/dispatch/task-placer.ts
+++ b/src/features/dispatch/task-placer.ts
@@ -74,7 +74,7 @@
 			return this.#start(job, slot, request, open);
 		}
 
-		return this.#start(job, slot, {...request, isNearOnly: true}, open) || (job.isLocalityRelaxed && this.#start(job, slot, request, open));
+		return this.#start(job, slot, {...request, requiresNearData: true}, open) || (job.isLocalityRelaxed && this.#start(job, slot, request, open));
 	}
 
 	#start(job: RunningJob, slot: TaskState, request: RunRequest, open: readonly RemoteTarget[]): boolean {
