--- a/src/entries/daemon/daemon.ts
+++ b/src/entries/daemon/daemon.ts
@@ -6,7 +6,7 @@
 import {statusReportKey} from '../../features/intake/status-report-key.js';
 import {jobServiceKey} from '../../features/jobs/job-service-key.js';
 import {membershipKey} from '../../features/membership/membership-key.js';
-import {zonePlacementKey} from '../../features/placement/zone-placement-key.js';
+import {placementServiceKey} from '../../features/placement/placement-service-key.js';
 import {submissionRegistryKey} from '../../features/submissions/submission-registry-key.js';
 import {profileBookKey} from '../../features/profiles/profile-book-key.js';
 import {runtimeKeys} from '../../runtime/runtime-keys.js';
@@ -55,7 +55,7 @@
 		const clock = services.get(runtimeKeys.clock);
 		journal.record('draining', {inFlight: jobs.inFlight});
 		await wait(clock, readinessLeadMilliseconds);
-		services.get(zonePlacementKey).resign();
+		services.get(placementServiceKey).resign();
 		const intakeClosed = services.get(intakeKey).close();
 		await Promise.race([Promise.all([jobs.drain(), intakeClosed]), wait(clock, this.settings.entry.drainMilliseconds)]);
 		const unfinished = jobs.inFlight;
@@ -75,7 +75,7 @@
 	#report(): void {
 		const {services, network} = this.wired;
 		const membership = services.get(membershipKey);
-		const placement = services.get(zonePlacementKey);
+		const placement = services.get(placementServiceKey);
 		const book = services.get(profileBookKey);
 		const status = services.get(statusReportKey);
 		status.add('entry', () => ({
@@ -89,11 +89,11 @@
 		}));
 		status.add('membership', () => ({members: membership.all.map(member => ({id: member.id, zone: member.zone, heardAgoMilliseconds: membership.heardAgo(member.id)}))}));
 		status.add('placement', () => ({
-			arbiter: placement.tenure.holder?.member,
-			isArbiter: placement.tenure.isHolder,
-			held: placement.desk.held,
+			arbiter: placement.election.holder?.member,
+			isArbiter: placement.election.isArbiter,
+			held: placement.slotClient.heldSlots,
 			freeSlots: placement.arbiter?.freeSlots,
-			waiting: placement.arbiter?.waiting,
+			waiting: placement.arbiter?.queuedTasks,
 		}));
 		status.add('jobs', () => ({inFlight: services.get(jobServiceKey).inFlight}));
 		status.add('peers', () => network.traffic);
@@ -108,6 +108,6 @@
 			isActive: registrar.isActive, records: registrar.records, bytes: registrar.bytes, circle: registrar.circle.map(member => member.id),
 		}));
 		readiness.add('registry', () => registrar.isActive);
-		readiness.add('arbiter', () => placement.tenure.holder !== undefined);
+		readiness.add('arbiter', () => placement.election.holder !== undefined);
 	}
 }
--- a/src/features/jobs/job-tools.ts
+++ b/src/features/jobs/job-tools.ts
@@ -3,7 +3,7 @@
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {Metrics} from '../../runtime/metrics/metrics.js';
 import type {TargetDriver} from '../../runtime/targets/target-driver.js';
-import type {SlotDesk} from '../placement/slot-desk.js';
+import type {SlotClient} from '../placement/slot-client.js';
 import type {RetryBudget} from './retry-budget.js';
 import type {VariantGuard} from './variant-guard.js';
 import type {ZoneChoice} from './zone-choice.js';
@@ -14,7 +14,7 @@
 	readonly journal: Journal;
 	readonly metrics: Metrics;
 	readonly driver: TargetDriver;
-	readonly slots: SlotDesk;
+	readonly slots: SlotClient;
 	readonly budget: RetryBudget;
 	readonly guard: VariantGuard;
 	readonly zones: ZoneChoice;
--- a/src/features/jobs/jobs.contribution.ts
+++ b/src/features/jobs/jobs.contribution.ts
@@ -4,7 +4,7 @@
 import {contributions} from '../../runtime/kernel/contributions.js';
 import type {ServiceContainer} from '../../runtime/kernel/service-container.js';
 import {runtimeKeys} from '../../runtime/runtime-keys.js';
-import {slotDeskKey} from '../placement/slot-desk-key.js';
+import {slotClientKey} from '../placement/slot-client-key.js';
 import {profileBookKey} from '../profiles/profile-book-key.js';
 import {submissionDeskKey} from '../submissions/submission-desk-key.js';
 import {JobService} from './job-service.js';
@@ -27,7 +27,7 @@
 			journal,
 			metrics: services.get(runtimeKeys.metrics),
 			driver: services.get(runtimeKeys.targetDriver),
-			slots: services.get(slotDeskKey),
+			slots: services.get(slotClientKey),
 			budget: new RetryBudget(),
 			guard: new VariantGuard(journal),
 			zones: new ZoneChoice(entry.zone, entry.zones, clock, services.get(runtimeKeys.random)),
--- a/src/features/jobs/running-job.ts
+++ b/src/features/jobs/running-job.ts
@@ -70,7 +70,7 @@
 			this.#byTicket.set(task.ticket, task);
 		}
 
-		this.tools.slots.want(this.#zone, this.#wantOf(tasks, isAdmitted), this.job.deadlineAt, {
+		this.tools.slots.requestSlots(this.#zone, this.#wantOf(tasks, isAdmitted), this.job.deadlineAt, {
 			onDidGrant: slot => {
 				this.#granted(slot);
 			},
--- a/src/features/placement/admission.ts
+++ b/src/features/placement/admission-control.ts
@@ -4,7 +4,7 @@
 import type {JobRefusal} from './job-refusal.js';
 import type {PlacementRequest} from './placement-request.js';
 import type {RunTimes} from './run-times.js';
-import type {SlotLedger} from './slot-ledger.js';
+import type {SlotTable} from './slot-table.js';
 import {TokenBucket} from './token-bucket.js';
 
 /** Of the tasks of a job, so many in total may be expected to run longer than what the estimate reckons with. */
@@ -22,10 +22,10 @@
  * A job is taken whole or refused whole, at once and before anything of it runs: a job that is refused after some of
  * its tasks ran has wasted them.
  */
-export class Admission {
+export class AdmissionControl {
 	readonly #buckets = new Map<ProfileName, {readonly rate: number; readonly bucket: TokenBucket}>();
 
-	constructor(private readonly queue: FairQueue, private readonly ledger: SlotLedger, private readonly runTimes: RunTimes) {}
+	constructor(private readonly queue: FairQueue, private readonly ledger: SlotTable, private readonly runTimes: RunTimes) {}
 
 	/** Returns why the job can't be taken, or nothing. */
 	refusalOf(want: Want, now: number): JobRefusal | undefined {
--- a/src/features/placement/tenure.ts
+++ b/src/features/placement/arbiter-election.ts
@@ -10,11 +10,11 @@
 import type {Membership} from '../membership/membership.js';
 import {Candidacy} from './candidacy.js';
 import type {Holder} from './holder.js';
-import {SilenceInquiry} from './silence-inquiry.js';
-import type {Succession} from './succession.js';
-import {TenureLease} from './tenure-lease.js';
-import type {TenureMessage} from './tenure-message.js';
-import {zoneNeighboursOf} from './zone-neighbours-of.js';
+import {SilenceCheck} from './silence-check.js';
+import type {RoleTransfer} from './role-transfer.js';
+import {ArbiterLease} from './arbiter-lease.js';
+import type {ElectionMessage} from './election-message.js';
+import {zonePeersOf} from './zone-peers-of.js';
 
 /** The owner calls `tick` this often. */
 const tickMilliseconds = 100;
@@ -27,17 +27,17 @@
  * holder's lease. Should two entries hold the office all the same (a cut that runs between them and leaves each a
  * peer), targets refuse what exceeds their slots, and the later epoch wins when they hear of each other.
  */
-export class Tenure implements Disposable {
+export class ArbiterElection implements Disposable {
 	static readonly tickMilliseconds = tickMilliseconds;
 
-	readonly #lease: TenureLease;
-	readonly #inquiry: SilenceInquiry;
+	readonly #lease: ArbiterLease;
+	readonly #inquiry: SilenceCheck;
 	readonly #candidacy: Candidacy;
 	#holder: Holder | undefined;
 	#tickedAt: number;
 	#highestEpoch = 0;
 	#hasResigned = false;
-	readonly #gain = new Emitter<Succession>();
+	readonly #gain = new Emitter<RoleTransfer>();
 	readonly #change = new Emitter<Holder | undefined>();
 	readonly #lose = new Emitter<void>();
 
@@ -45,10 +45,10 @@
 		private readonly membership: Membership,
 		private readonly clock: Clock,
 		private readonly journal: Journal,
-		private readonly send: (to: Member, message: TenureMessage) => void,
+		private readonly send: (to: Member, message: ElectionMessage) => void,
 	) {
-		this.#lease = new TenureLease(membership, clock, send);
-		this.#inquiry = new SilenceInquiry(membership, clock, send);
+		this.#lease = new ArbiterLease(membership, clock, send);
+		this.#inquiry = new SilenceCheck(membership, clock, send);
 		this.#candidacy = new Candidacy({
 			membership, clock, journal, send, inquiry: this.#inquiry,
 		});
@@ -74,21 +74,21 @@
 		return this.#change.event;
 	}
 
-	get isHolder(): boolean {
+	get isArbiter(): boolean {
 		return this.#holder?.member === this.membership.self.id;
 	}
 
 	/** Whether this entry may lend slots right now; asked before each grant, on the monotonic clock. */
-	mayGrant(): boolean {
+	canGrant(): boolean {
 		const isPaused = this.clock.now() - this.#tickedAt > pauseLimitMilliseconds;
-		return this.isHolder && !this.#hasResigned && !isPaused && this.#lease.isValid;
+		return this.isArbiter && !this.#hasResigned && !isPaused && this.#lease.isValid;
 	}
 
 	tick(): void {
 		const now = this.clock.now();
 		const wasPaused = now - this.#tickedAt > pauseLimitMilliseconds;
 		this.#tickedAt = now;
-		if (this.isHolder) {
+		if (this.isArbiter) {
 			this.#tickAsHolder(wasPaused);
 			return;
 		}
@@ -103,7 +103,7 @@
 		}
 	}
 
-	receive(from: Member, message: TenureMessage): void {
+	receive(from: Member, message: ElectionMessage): void {
 		match(message)
 			.with({kind: 'holds'}, announcement => {
 				this.#hearHolder(from, announcement);
@@ -138,11 +138,11 @@
 	}
 
 	/** Gives the office up for good, to the successor that's returned; none where the entry isn't the holder. */
-	resign(held: Extract<TenureMessage, {kind: 'handover'}>['held']): Member | undefined {
+	resign(held: Extract<ElectionMessage, {kind: 'handover'}>['held']): Member | undefined {
 		this.#hasResigned = true;
-		const awake = zoneNeighboursOf(this.membership).filter(member => !this.membership.isSilent(member.id));
+		const awake = zonePeersOf(this.membership).filter(member => !this.membership.isSilent(member.id));
 		const [successor] = rankByKey(this.membership.self.zone, awake, member => member.instance);
-		if (!this.isHolder || successor === undefined) {
+		if (!this.isArbiter || successor === undefined) {
 			return undefined;
 		}
 
@@ -168,7 +168,7 @@
 		this.#lease.renew(this.#holder!.epoch);
 	}
 
-	#hearHolder(from: Member, announcement: Extract<TenureMessage, {kind: 'holds'}>): void {
+	#hearHolder(from: Member, announcement: Extract<ElectionMessage, {kind: 'holds'}>): void {
 		// Within a zone pings tell who is there; a holder that asks another zone has nobody else to ask.
 		if (announcement.zone !== this.membership.self.zone) {
 			this.send(from, {kind: 'heard', stamp: announcement.stamp});
@@ -188,7 +188,7 @@
 			return;
 		}
 
-		if (this.isHolder) {
+		if (this.isArbiter) {
 			this.#stepDown();
 		}
 
@@ -206,7 +206,7 @@
 		});
 	}
 
-	#take(succession: Succession): void {
+	#take(succession: RoleTransfer): void {
 		this.#highestEpoch += 1;
 		this.#lease.begin();
 		this.#setHolder({member: this.membership.self.id, epoch: this.#highestEpoch});
--- a/src/features/placement/tenure-lease.ts
+++ b/src/features/placement/arbiter-lease.ts
@@ -3,8 +3,8 @@
 import {rankByKey} from '../../base/rank-by-key.js';
 import type {Member} from '../../runtime/peers/member.js';
 import type {Membership} from '../membership/membership.js';
-import type {TenureMessage} from './tenure-message.js';
-import {zoneNeighboursOf} from './zone-neighbours-of.js';
+import type {ElectionMessage} from './election-message.js';
+import {zonePeersOf} from './zone-peers-of.js';
 
 /** News are told at once; this only repairs a lost message. */
 const announceMilliseconds = 5000;
@@ -14,7 +14,7 @@
 const leaseMilliseconds = 1600;
 
 /** Any peer's answer renews it: within a zone pings tell who is there, and another zone answers announcements. */
-export class TenureLease {
+export class ArbiterLease {
 	#acknowledgedAt = Number.NEGATIVE_INFINITY;
 	#announcedAt = Number.NEGATIVE_INFINITY;
 	#askedWitnessesAt = Number.NEGATIVE_INFINITY;
@@ -22,7 +22,7 @@
 	constructor(
 		private readonly membership: Membership,
 		private readonly clock: Clock,
-		private readonly send: (to: Member, message: TenureMessage) => void,
+		private readonly send: (to: Member, message: ElectionMessage) => void,
 	) {}
 
 	/** Whether no other entry can have taken the office. */
@@ -37,7 +37,7 @@
 
 	/** Tells the zone who holds the office. */
 	announce(epoch: number): void {
-		this.#tell(epoch, zoneNeighboursOf(this.membership));
+		this.#tell(epoch, zonePeersOf(this.membership));
 	}
 
 	/** A peer of another zone answered the announcement that was sent then. */
@@ -61,12 +61,12 @@
 
 	/** Whether the zone has, or may have, another entry that could take the office. */
 	#hasRivals(): boolean {
-		return zoneNeighboursOf(this.membership).length > 0 || this.membership.isUnresolved(this.membership.self.zone);
+		return zonePeersOf(this.membership).length > 0 || this.membership.isUnresolved(this.membership.self.zone);
 	}
 
 	/** When the holder last sent something that a peer answered. */
 	#reachedAt(): number {
-		const inZone = zoneNeighboursOf(this.membership).map(member => this.membership.reachedAt(member.id) ?? Number.NEGATIVE_INFINITY);
+		const inZone = zonePeersOf(this.membership).map(member => this.membership.reachedAt(member.id) ?? Number.NEGATIVE_INFINITY);
 		return Math.max(this.#acknowledgedAt, ...inZone);
 	}
 
--- a/src/features/placement/arbiter-link.ts
+++ b/src/features/placement/arbiter-session.ts
@@ -5,20 +5,20 @@
 import type {TicketId} from '../../base/ticket-id.js';
 import type {TargetAddress} from '../../runtime/targets/target-address.js';
 import type {Membership} from '../membership/membership.js';
-import type {ArbiterPost} from './arbiter-post.js';
+import type {ArbiterTransport} from './arbiter-transport.js';
 import type {PlacementRequest} from './placement-request.js';
-import type {Wish} from './wish.js';
+import type {PendingSlotRequest} from './pending-slot-request.js';
 
 /** Every request shows that this entry is awake; without one for so long, a renewal does. */
 const renewMilliseconds = 250;
 /** Counts are compared this often in any case. */
 const compareMilliseconds = 2000;
 
-type Held = {readonly target: TargetAddress; readonly profile: Wish['want']['profile']; readonly endsAt: number};
+type Held = {readonly target: TargetAddress; readonly profile: PendingSlotRequest['want']['profile']; readonly endsAt: number};
 
 /** Tells a new arbiter of all that is open, and searches for one where none is known. */
-export class ArbiterLink {
-	readonly wishes = new Map<TicketId, Wish>();
+export class ArbiterSession {
+	readonly wishes = new Map<TicketId, PendingSlotRequest>();
 	readonly held = new Map<TicketId, Held>();
 	#arbiter: MemberId | undefined;
 	/** When the arbiter was sent something last, and when a renewal. */
@@ -29,7 +29,7 @@
 		readonly zone: AvailabilityZone,
 		private readonly membership: Membership,
 		private readonly clock: Clock,
-		private readonly post: ArbiterPost,
+		private readonly post: ArbiterTransport,
 	) {}
 
 	get arbiter(): MemberId | undefined {
@@ -116,7 +116,7 @@
 	#search(): void {
 		for (const member of this.membership.inZone(this.zone)) {
 			if (member.id !== this.membership.self.id) {
-				this.post.askHolder(member, this.zone);
+				this.post.queryArbiter(member, this.zone);
 			}
 		}
 	}
--- a/src/features/placement/arbiter-post.ts
+++ b/src/features/placement/arbiter-transport.ts
@@ -5,8 +5,8 @@
 import type {PlacementRequest} from './placement-request.js';
 
 /** A message to this entry itself is delivered too. */
-export type ArbiterPost = {
+export type ArbiterTransport = {
 	readonly request: (to: MemberId, request: PlacementRequest) => void;
 	/** Asks an entry of a zone who the arbiter is. */
-	readonly askHolder: (of: Member, zone: AvailabilityZone) => void;
+	readonly queryArbiter: (of: Member, zone: AvailabilityZone) => void;
 };
--- a/src/features/placement/arbiter.ts
+++ b/src/features/placement/arbiter.ts
@@ -9,23 +9,23 @@
 import type {Instance} from '../../runtime/instances/instance.js';
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {TargetUsage} from '../../runtime/targets/target-usage.js';
-import {Admission} from './admission.js';
+import {AdmissionControl} from './admission-control.js';
 import {FairQueue} from './fair-queue.js';
-import type {HeldSlot} from './held-slot.js';
+import type {LeasedSlot} from './leased-slot.js';
 import type {JobRefusal} from './job-refusal.js';
-import {Lending} from './lending.js';
-import type {Placement} from './placement.js';
+import {SlotLeases} from './slot-leases.js';
+import type {PlacementPolicy} from './placement-policy.js';
 import type {PlacementReply} from './placement-reply.js';
 import type {PlacementRequest} from './placement-request.js';
 import {Reconciliation} from './reconciliation.js';
 import {Requesters} from './requesters.js';
 import {RunTimes} from './run-times.js';
-import {SlotAudit} from './slot-audit.js';
-import {SlotLedger} from './slot-ledger.js';
+import {SlotRecovery} from './slot-recovery.js';
+import {SlotTable} from './slot-table.js';
 import {TargetHealth} from './target-health.js';
-import type {TenureMessage} from './tenure-message.js';
-import {WaitingTickets} from './waiting-tickets.js';
-import type {WaitingTicket} from './waiting-ticket.js';
+import type {ElectionMessage} from './election-message.js';
+import {QueuedTasks} from './queued-tasks.js';
+import type {QueuedTask} from './queued-task.js';
 
 type Want = Extract<PlacementRequest, {kind: 'want'}>;
 
@@ -34,7 +34,7 @@
 
 type ArbiterParts = {
 	readonly zone: AvailabilityZone;
-	readonly placement: Placement;
+	readonly placement: PlacementPolicy;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly journal: Journal;
@@ -47,49 +47,49 @@
  * only on messages and on `tick`, and only while `mayGrant` says so.
  */
 export class Arbiter {
-	readonly #ledger: SlotLedger;
-	readonly #admission: Admission;
+	readonly #ledger: SlotTable;
+	readonly #admission: AdmissionControl;
 	readonly #requesters: Requesters;
-	readonly #waiting: WaitingTickets;
-	readonly #lending: Lending;
+	readonly #waiting: QueuedTasks;
+	readonly #lending: SlotLeases;
 	readonly #reconciliation: Reconciliation;
-	readonly #audit: SlotAudit;
+	readonly #audit: SlotRecovery;
 
 	constructor(private readonly parts: ArbiterParts) {
 		const health = new TargetHealth(parts.journal);
-		const ledger = new SlotLedger(health);
+		const ledger = new SlotTable(health);
 		const queue = new FairQueue();
 		const runTimes = new RunTimes();
 		const requesters = new Requesters(parts.clock);
 		const shared = {
 			...parts, health, ledger, queue, runTimes, requesters,
 		};
-		const waiting = new WaitingTickets(shared);
-		const lending = new Lending(shared);
+		const waiting = new QueuedTasks(shared);
+		const lending = new SlotLeases(shared);
 		this.#ledger = ledger;
-		this.#admission = new Admission(queue, ledger, runTimes);
+		this.#admission = new AdmissionControl(queue, ledger, runTimes);
 		this.#requesters = requesters;
 		this.#waiting = waiting;
 		this.#lending = lending;
 		this.#reconciliation = new Reconciliation({...shared, waiting, lending});
-		this.#audit = new SlotAudit(ledger, lending);
+		this.#audit = new SlotRecovery(ledger, lending);
 	}
 
 	get freeSlots(): number {
 		return this.#ledger.freeSlots;
 	}
 
-	get waiting(): number {
+	get queuedTasks(): number {
 		return this.#waiting.size;
 	}
 
 	/** All slots that are lent, for a successor. */
-	get lentSlots(): readonly HeldSlot[] {
+	get lentSlots(): readonly LeasedSlot[] {
 		return this.#ledger.held;
 	}
 
 	/** Takes over what a predecessor lent. */
-	adoptAll(held: Extract<TenureMessage, {kind: 'handover'}>['held']): void {
+	adoptAll(held: Extract<ElectionMessage, {kind: 'handover'}>['held']): void {
 		for (const {requester, ticket, target, profile, endsInMilliseconds} of held) {
 			this.#lending.adopt(requester, {ticket, target, profile}, endsInMilliseconds);
 		}
@@ -226,7 +226,7 @@
 		}
 	}
 
-	#refuseLate(ticket: WaitingTicket): void {
+	#refuseLate(ticket: QueuedTask): void {
 		this.#waiting.drop(ticket);
 		this.#refuse(ticket.requester, [ticket.task.ticket], {cause: 'deadlineUnreachable', detail: 'the deadline passed while the task waited for a slot', retryAfterMilliseconds: 1000});
 	}
--- a/src/features/placement/candidacy.ts
+++ b/src/features/placement/candidacy.ts
@@ -5,9 +5,9 @@
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {Member} from '../../runtime/peers/member.js';
 import type {Membership} from '../membership/membership.js';
-import type {SilenceInquiry} from './silence-inquiry.js';
-import type {TenureMessage} from './tenure-message.js';
-import {zoneNeighboursOf} from './zone-neighbours-of.js';
+import type {SilenceCheck} from './silence-check.js';
+import type {ElectionMessage} from './election-message.js';
+import {zonePeersOf} from './zone-peers-of.js';
 
 /** A holder that nobody heard for so long has certainly stopped granting, whatever it still believes. */
 const holderSilenceMilliseconds = 2500;
@@ -20,8 +20,8 @@
 	readonly membership: Membership;
 	readonly clock: Clock;
 	readonly journal: Journal;
-	readonly inquiry: SilenceInquiry;
-	readonly send: (to: Member, message: TenureMessage) => void;
+	readonly inquiry: SilenceCheck;
+	readonly send: (to: Member, message: ElectionMessage) => void;
 };
 
 /** Only the first in rank takes the office: a vacant one when nobody told of a holder, a silent one's on witnesses' word. */
@@ -62,7 +62,7 @@
 		const now = clock.now();
 		if (now - this.#askedAt >= askMilliseconds) {
 			this.#askedAt = now;
-			for (const member of zoneNeighboursOf(membership)) {
+			for (const member of zonePeersOf(membership)) {
 				send(member, {kind: 'who', zone: membership.self.zone});
 			}
 		}
@@ -94,7 +94,7 @@
 	#isFirst(): boolean {
 		const {membership} = this.parts;
 		const {self} = membership;
-		const awake = zoneNeighboursOf(membership).filter(member => !membership.isSilent(member.id));
+		const awake = zonePeersOf(membership).filter(member => !membership.isSilent(member.id));
 		return rankByKey(self.zone, [self, ...awake], member => member.instance)[0]?.id === self.id;
 	}
 }
--- a/src/features/placement/tenure-message-schema.ts
+++ b/src/features/placement/election-message-schema.ts
@@ -13,7 +13,7 @@
  * `holds` announces the arbiter, and is acknowledged with `heard`; `who` asks for it; `alive` asks how long ago a member
  * was heard of, and `aliveReply` tells; `handover` gives the office to a successor with all slots that are lent.
  */
-export const tenureMessageSchema = z.discriminatedUnion('kind', [
+export const electionMessageSchema = z.discriminatedUnion('kind', [
 	z.object({
 		kind: z.literal('holds'), zone, holder: member, epoch: z.int().min(0), stamp: z.number(),
 	}),
--- a/src/features/placement/fair-queue.ts
+++ b/src/features/placement/fair-queue.ts
@@ -1,12 +1,12 @@
 /** The waiting tasks of a zone. */
-import {JobLevels} from './job-levels.js';
-import type {WaitingTicket} from './waiting-ticket.js';
+import {JobQueue} from './job-queue.js';
+import type {QueuedTask} from './queued-task.js';
 
 /** Tasks of one profile that the same targets can take. */
 type Lane = {
 	readonly profile: string;
 	readonly weight: number;
-	readonly jobs: JobLevels;
+	readonly jobs: JobQueue;
 	/** Work that the lane was given, divided by its weight: the lane with the least is next. */
 	servedTime: number;
 	/** Work that waits, in milliseconds. */
@@ -26,7 +26,7 @@
 		return this.#waiting;
 	}
 
-	push(ticket: WaitingTicket): void {
+	push(ticket: QueuedTask): void {
 		const lane = this.#laneOf(ticket);
 		if (lane.waiting === 0) {
 			lane.servedTime = Math.max(lane.servedTime, this.#leastServedTime());
@@ -39,7 +39,7 @@
 	}
 
 	/** Marks a wish as gone; its place in the queue is dropped later, its weight at once. */
-	remove(ticket: WaitingTicket): void {
+	remove(ticket: QueuedTask): void {
 		if (ticket.isGone) {
 			return;
 		}
@@ -52,7 +52,7 @@
 	 * Takes the next ticket that the visitor accepts. It's asked once for each lane, in the order of fairness: a lane
 	 * whose next task has no target waits without holding up the others.
 	 */
-	takeNext(now: number, accepts: (ticket: WaitingTicket) => boolean): WaitingTicket | undefined {
+	takeNext(now: number, accepts: (ticket: QueuedTask) => boolean): QueuedTask | undefined {
 		const busy = [...this.#lanes.values()].filter(lane => lane.waiting > 0);
 		busy.sort((left, right) => left.servedTime - right.servedTime);
 		for (const lane of busy) {
@@ -101,13 +101,13 @@
 		return own + others;
 	}
 
-	#discount(lane: Lane, ticket: WaitingTicket): void {
+	#discount(lane: Lane, ticket: QueuedTask): void {
 		lane.waiting -= 1;
 		lane.backlogMilliseconds = lane.waiting === 0 ? 0 : lane.backlogMilliseconds - ticket.expectedMilliseconds;
 		this.#waiting -= 1;
 	}
 
-	#laneOf(ticket: WaitingTicket): Lane {
+	#laneOf(ticket: QueuedTask): Lane {
 		const {request, task} = ticket;
 		const key = [ticket.partition, request.profile, request.weight, task.memoryMegabytes, task.accelerators, task.labels.join('+'), task.avoided.join('+')].join('|');
 		const known = this.#lanes.get(key);
@@ -116,7 +116,7 @@
 		}
 
 		const lane: Lane = {
-			profile: request.profile, weight: request.weight, jobs: new JobLevels(), servedTime: 0, backlogMilliseconds: 0, waiting: 0,
+			profile: request.profile, weight: request.weight, jobs: new JobQueue(), servedTime: 0, backlogMilliseconds: 0, waiting: 0,
 		};
 		this.#lanes.set(key, lane);
 		return lane;
--- a/src/features/placement/job-levels.ts
+++ b/src/features/placement/job-queue.ts
@@ -1,11 +1,11 @@
 /** The waiting jobs of a lane. */
 import type {SubmissionId} from '../../base/submission-id.js';
-import type {WaitingTicket} from './waiting-ticket.js';
+import type {QueuedTask} from './queued-task.js';
 
 type QueuedJob = {
 	readonly id: SubmissionId;
 	readonly urgentAt: number;
-	readonly tickets: WaitingTicket[];
+	readonly tickets: QueuedTask[];
 	head: number;
 	served: number;
 	isDone: boolean;
@@ -19,14 +19,14 @@
  * wait behind two hundred tasks of another; the large job hardly notices the few small ones that pass it. A job that has
  * used up half of its time goes before all others, so that under overload what was begun is finished.
  */
-export class JobLevels {
+export class JobQueue {
 	/** Jobs by the number of slots that they got. */
 	readonly #levels: QueuedJob[][] = [];
 	/** In the order of their coming; those that are done are dropped when they come first. */
 	readonly #arrivals: QueuedJob[] = [];
 	readonly #jobs = new Map<SubmissionId, QueuedJob>();
 
-	push(ticket: WaitingTicket): void {
+	push(ticket: QueuedTask): void {
 		const {job} = ticket.request;
 		const known = this.#jobs.get(job);
 		if (known !== undefined) {
@@ -48,7 +48,7 @@
 	}
 
 	/** The next ticket, without taking it. */
-	first(now: number): WaitingTicket | undefined {
+	first(now: number): QueuedTask | undefined {
 		const job = this.#firstJob(now);
 		return job?.tickets[job.head];
 	}
--- a/src/features/placement/held-slot.ts
+++ b/src/features/placement/leased-slot.ts
@@ -6,7 +6,7 @@
 import type {TicketId} from '../../base/ticket-id.js';
 
 /** One slot of one target, lent for one task; at the lease's end the target has stopped the task for certain. */
-export type HeldSlot = {
+export type LeasedSlot = {
 	readonly requester: MemberId;
 	readonly ticket: TicketId;
 	readonly target: InstanceId;
--- a/src/features/placement/mean-run-times.ts
+++ b/src/features/placement/mean-run-times.ts
@@ -1,6 +1,6 @@
 /** Learned mean run times. */
 import type {ProfileName} from '../../base/profile-name.js';
-import {LearnedSamples} from './learned-samples.js';
+import {ProfileSamples} from './profile-samples.js';
 import {MeanSample} from './mean-sample.js';
 
 /**
@@ -8,7 +8,7 @@
  * small machines.
  */
 export class MeanRunTimes {
-	readonly #samples = new LearnedSamples(() => new MeanSample());
+	readonly #samples = new ProfileSamples(() => new MeanSample());
 
 	record(profile: ProfileName, milliseconds: number): void {
 		this.#samples.record(profile, milliseconds);
--- a/src/features/placement/network-slot-desk.ts
+++ b/src/features/placement/network-slot-client.ts
@@ -8,13 +8,13 @@
 import type {TargetAddress} from '../../runtime/targets/target-address.js';
 import type {Loss} from '../membership/loss.js';
 import type {Membership} from '../membership/membership.js';
-import {ArbiterLink} from './arbiter-link.js';
-import type {ArbiterPost} from './arbiter-post.js';
+import {ArbiterSession} from './arbiter-session.js';
+import type {ArbiterTransport} from './arbiter-transport.js';
 import type {Holder} from './holder.js';
 import type {JobRefusal} from './job-refusal.js';
 import type {PlacementReply} from './placement-reply.js';
 import type {PlacementRequest} from './placement-request.js';
-import {SlotDesk} from './slot-desk.js';
+import {SlotClient} from './slot-client.js';
 import type {SlotListener} from './slot-listener.js';
 
 /** The owner calls `tick` this often. */
@@ -32,27 +32,27 @@
 type Want = Extract<PlacementRequest, {kind: 'want'}>;
 
 /** Keeps every wish until it's granted, refused or withdrawn. */
-export class NetworkSlotDesk extends SlotDesk {
+export class NetworkSlotClient extends SlotClient {
 	static readonly tickMilliseconds = tickMilliseconds;
 
-	readonly #links = new Map<AvailabilityZone, ArbiterLink>();
-	readonly #linkOf = new Map<TicketId, ArbiterLink>();
+	readonly #links = new Map<AvailabilityZone, ArbiterSession>();
+	readonly #linkOf = new Map<TicketId, ArbiterSession>();
 
 	constructor(
 		private readonly membership: Membership,
 		private readonly clock: Clock,
 		private readonly journal: Journal,
-		private readonly post: ArbiterPost,
+		private readonly post: ArbiterTransport,
 	) {
 		super();
 	}
 
 	/** Slots that this entry holds now. */
-	get held(): number {
+	get heldSlots(): number {
 		return [...this.#links.values()].reduce((sum, link) => sum + link.held.size, 0);
 	}
 
-	override want(zone: AvailabilityZone, want: Want, deadlineAt: number, listener: SlotListener): void {
+	override requestSlots(zone: AvailabilityZone, want: Want, deadlineAt: number, listener: SlotListener): void {
 		const link = this.#linkTo(zone);
 		const now = this.clock.now();
 		for (const task of want.tasks) {
@@ -79,7 +79,7 @@
 	}
 
 	override withdraw(tickets: readonly TicketId[]): void {
-		const byLink = new Map<ArbiterLink, TicketId[]>();
+		const byLink = new Map<ArbiterSession, TicketId[]>();
 		for (const ticket of tickets) {
 			const link = this.#linkOf.get(ticket);
 			if (link?.wishes.delete(ticket)) {
@@ -192,7 +192,7 @@
 		}
 	}
 
-	#giveUpLate(link: ArbiterLink): void {
+	#giveUpLate(link: ArbiterSession): void {
 		const now = this.clock.now();
 		const isOwn = link.zone === this.membership.self.zone;
 		const searchLimit = isOwn ? ownSearchMilliseconds : foreignSearchMilliseconds;
@@ -205,18 +205,18 @@
 		}
 	}
 
-	#giveUp(link: ArbiterLink, ticket: TicketId, refusal: JobRefusal): void {
+	#giveUp(link: ArbiterSession, ticket: TicketId, refusal: JobRefusal): void {
 		link.tell({kind: 'withdraw', tickets: [ticket]});
 		this.#refused(ticket, refusal);
 	}
 
-	#linkTo(zone: AvailabilityZone): ArbiterLink {
+	#linkTo(zone: AvailabilityZone): ArbiterSession {
 		const known = this.#links.get(zone);
 		if (known !== undefined) {
 			return known;
 		}
 
-		const link = new ArbiterLink(zone, this.membership, this.clock, this.post);
+		const link = new ArbiterSession(zone, this.membership, this.clock, this.post);
 		this.#links.set(zone, link);
 		return link;
 	}
--- a/src/features/placement/wish.ts
+++ b/src/features/placement/pending-slot-request.ts
@@ -5,7 +5,7 @@
 type Want = Extract<PlacementRequest, {kind: 'want'}>;
 
 /** The wish for a slot for one task; times are the entry's own monotonic ones. */
-export type Wish = {
+export type PendingSlotRequest = {
 	readonly want: Want;
 	readonly task: Want['tasks'][number];
 	readonly deadlineAt: number;
--- a/src/features/placement/placements.ts
+++ b/src/features/placement/placement-policies.ts
@@ -1,11 +1,11 @@
 /** The policies that registered themselves. */
-import type {Placement} from './placement.js';
+import type {PlacementPolicy} from './placement-policy.js';
 
-const registered = new Map<string, Placement>();
+const registered = new Map<string, PlacementPolicy>();
 
 /** Policy files call `register` when they are imported; the settings name one. */
-export const placements = {
-	register(placement: Placement): void {
+export const placementPolicies = {
+	register(placement: PlacementPolicy): void {
 		registered.set(placement.name, placement);
 	},
 
@@ -13,7 +13,7 @@
 		return [...registered.keys()];
 	},
 
-	named(name: string): Placement | undefined {
+	named(name: string): PlacementPolicy | undefined {
 		return registered.get(name);
 	},
 };
--- a/src/features/placement/placement-request-schema.ts
+++ b/src/features/placement/placement-request-schema.ts
@@ -4,7 +4,7 @@
 import type {ProfileName} from '../../base/profile-name.js';
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {TicketId} from '../../base/ticket-id.js';
-import {wantedTaskSchema} from './wanted-task.js';
+import {requestedTaskSchema} from './requested-task-schema.js';
 
 const ticket = z.string().max(300).transform(text => text as TicketId);
 const target = z.string().max(128).transform(text => text as InstanceId);
@@ -32,7 +32,7 @@
 		limitMilliseconds: z.number().positive(),
 		/** Wishes that were admitted before: a new try of a task, or a copy for a new arbiter. */
 		isAdmitted: z.boolean(),
-		tasks: z.array(wantedTaskSchema).min(1).max(200),
+		tasks: z.array(requestedTaskSchema).min(1).max(200),
 	}),
 	z.object({
 		kind: z.literal('release'),
--- a/src/features/placement/zone-placement.ts
+++ b/src/features/placement/placement-service.ts
@@ -15,16 +15,16 @@
 import type {TargetDriver} from '../../runtime/targets/target-driver.js';
 import type {Membership} from '../membership/membership.js';
 import {Arbiter} from './arbiter.js';
-import {NetworkSlotDesk} from './network-slot-desk.js';
-import type {Placement} from './placement.js';
+import {NetworkSlotClient} from './network-slot-client.js';
+import type {PlacementPolicy} from './placement-policy.js';
 import type {PlacementReply} from './placement-reply.js';
 import {placementReplySchema} from './placement-reply-schema.js';
 import type {PlacementRequest} from './placement-request.js';
 import {placementRequestSchema} from './placement-request-schema.js';
-import type {Succession} from './succession.js';
-import {Tenure} from './tenure.js';
-import type {TenureMessage} from './tenure-message.js';
-import {tenureMessageSchema} from './tenure-message-schema.js';
+import type {RoleTransfer} from './role-transfer.js';
+import {ArbiterElection} from './arbiter-election.js';
+import type {ElectionMessage} from './election-message.js';
+import {electionMessageSchema} from './election-message-schema.js';
 
 const channel = 'placement';
 /** How often targets are asked what they run while some of their slots aren't accounted for. */
@@ -36,11 +36,11 @@
 	/** The stamp is the time on the sender's own clock, which grants bring back. */
 	z.object({to: z.literal('arbiter'), stamp: z.number(), request: placementRequestSchema}),
 	z.object({to: z.literal('desk'), reply: placementReplySchema}),
-	z.object({to: z.literal('tenure'), message: tenureMessageSchema}),
+	z.object({to: z.literal('tenure'), message: electionMessageSchema}),
 ]);
 
-type ZonePlacementParts = {
-	readonly placement: Placement;
+type PlacementServiceParts = {
+	readonly placement: PlacementPolicy;
 	readonly quarantineMilliseconds: number;
 	readonly network: PeerNetwork;
 	readonly membership: Membership;
@@ -52,38 +52,38 @@
 };
 
 /** Owns the three parts and carries messages between them and the network. */
-export class ZonePlacement implements Disposable {
+export class PlacementService implements Disposable {
 	readonly #store = new DisposableStore();
-	readonly #tenure: Tenure;
-	readonly #desk: NetworkSlotDesk;
+	readonly #election: ArbiterElection;
+	readonly #slotClient: NetworkSlotClient;
 	#arbiter: Arbiter | undefined;
 	#gainedAt = 0;
 
-	constructor(private readonly parts: ZonePlacementParts) {
+	constructor(private readonly parts: PlacementServiceParts) {
 		const {network, membership, clock, journal} = parts;
-		this.#tenure = this.#store.add(new Tenure(membership, clock, journal, (to, message) => {
+		this.#election = this.#store.add(new ArbiterElection(membership, clock, journal, (to, message) => {
 			network.send(to, {channel, body: {to: 'tenure', message}});
 		}));
-		this.#desk = new NetworkSlotDesk(membership, clock, journal, {
+		this.#slotClient = new NetworkSlotClient(membership, clock, journal, {
 			request: (to, request) => {
 				this.#sendRequest(to, request);
 			},
-			askHolder(of, zone) {
+			queryArbiter(of, zone) {
 				network.send(of, {channel, body: {to: 'tenure', message: {kind: 'who', zone}}});
 			},
 		});
 	}
 
-	get desk(): NetworkSlotDesk {
-		return this.#desk;
+	get slotClient(): NetworkSlotClient {
+		return this.#slotClient;
 	}
 
 	get arbiter(): Arbiter | undefined {
 		return this.#arbiter;
 	}
 
-	get tenure(): Tenure {
-		return this.#tenure;
+	get election(): ArbiterElection {
+		return this.#election;
 	}
 
 	start(): void {
@@ -93,34 +93,34 @@
 				this.#receive(from, message.body);
 			}
 		}));
-		this.#store.add(this.#tenure.onDidChange(holder => {
-			this.#desk.setArbiter(this.parts.membership.self.zone, holder);
+		this.#store.add(this.#election.onDidChange(holder => {
+			this.#slotClient.setArbiter(this.parts.membership.self.zone, holder);
 		}));
-		this.#store.add(this.#tenure.onDidGain(succession => {
+		this.#store.add(this.#election.onDidGain(succession => {
 			this.#gain(succession);
 		}));
-		this.#store.add(this.#tenure.onDidLose(() => {
+		this.#store.add(this.#election.onDidLose(() => {
 			this.#arbiter = undefined;
 		}));
 		this.#store.add(this.parts.membership.onDidLose(loss => {
-			this.#tenure.memberLost(loss);
-			this.#desk.memberLost(loss);
+			this.#election.memberLost(loss);
+			this.#slotClient.memberLost(loss);
 			this.#arbiter?.forget(loss.member.id);
 		}));
 		// What was under way on the lost connection is told again, on both sides.
 		this.#store.add(this.parts.network.onDidReconnect(member => {
-			this.#desk.memberReconnected(member.id);
+			this.#slotClient.memberReconnected(member.id);
 			this.#arbiter?.requesterReconnected(member.id);
 		}));
 		this.#store.add(this.parts.list.onDidRead(({instances}) => {
 			this.#arbiter?.setTargets(instances);
 		}));
-		this.#store.add(repeat(clock, Tenure.tickMilliseconds, () => {
-			this.#tenure.tick();
+		this.#store.add(repeat(clock, ArbiterElection.tickMilliseconds, () => {
+			this.#election.tick();
 			this.#arbiter?.tick();
 		}));
-		this.#store.add(repeat(clock, NetworkSlotDesk.tickMilliseconds, () => {
-			this.#desk.tick();
+		this.#store.add(repeat(clock, NetworkSlotClient.tickMilliseconds, () => {
+			this.#slotClient.tick();
 		}));
 		this.#store.add(repeat(clock, usagePeriodMilliseconds, () => {
 			this.#askTargets();
@@ -133,7 +133,7 @@
 		const held = this.#arbiter?.lentSlots.map(({requester, ticket, target, profile, leaseEndsAt}) => ({
 			requester, ticket, target, profile, endsInMilliseconds: leaseEndsAt - now,
 		}));
-		const successor = this.#tenure.resign(held ?? []);
+		const successor = this.#election.resign(held ?? []);
 		this.parts.journal.record('tenureResigned', {successor: successor?.id, held: held?.length ?? 0});
 	}
 
@@ -154,17 +154,17 @@
 		} else if (message.to === 'arbiter') {
 			this.#receiveRequest(from.id, message.stamp, message.request);
 		} else {
-			this.#desk.receive(from.id, message.reply);
+			this.#slotClient.receive(from.id, message.reply);
 		}
 	}
 
 	/** An announcement of another zone's arbiter answers a question of the desk. */
-	#receiveTenure(from: Member, message: TenureMessage): void {
+	#receiveTenure(from: Member, message: ElectionMessage): void {
 		if (message.kind === 'holds' && message.zone !== this.parts.membership.self.zone) {
-			this.#desk.setArbiter(message.zone, {member: message.holder, epoch: message.epoch});
+			this.#slotClient.setArbiter(message.zone, {member: message.holder, epoch: message.epoch});
 		}
 
-		this.#tenure.receive(from, message);
+		this.#election.receive(from, message);
 	}
 
 	#receiveRequest(from: MemberId, stamp: number, request: PlacementRequest): void {
@@ -194,7 +194,7 @@
 	#sendReply(to: MemberId, reply: PlacementReply): void {
 		if (to === this.parts.membership.self.id) {
 			queueMicrotask(() => {
-				this.#desk.receive(to, reply);
+				this.#slotClient.receive(to, reply);
 			});
 			return;
 		}
@@ -205,7 +205,7 @@
 		}
 	}
 
-	#gain(succession: Succession): void {
+	#gain(succession: RoleTransfer): void {
 		const {zone} = this.parts.membership.self;
 		const arbiter = new Arbiter({
 			...this.parts,
@@ -213,7 +213,7 @@
 			outbox: (to, reply) => {
 				this.#sendReply(to, reply);
 			},
-			mayGrant: () => this.#tenure.mayGrant(),
+			mayGrant: () => this.#election.canGrant(),
 		});
 		this.#arbiter = arbiter;
 		this.#gainedAt = this.parts.clock.now();
--- a/src/features/placement/placement.contribution.ts
+++ b/src/features/placement/placement.contribution.ts
@@ -5,16 +5,16 @@
 import type {ServiceContainer} from '../../runtime/kernel/service-container.js';
 import {runtimeKeys} from '../../runtime/runtime-keys.js';
 import {membershipKey} from '../membership/membership-key.js';
-import {placements} from './placements.js';
+import {placementPolicies} from './placement-policies.js';
 import './policies/fixed-shares.js';
 import './policies/late-binding.js';
 import './policies/least-in-flight.js';
 import './policies/power-of-two.js';
 import './policies/random-choice.js';
 import './policies/round-robin.js';
-import {slotDeskKey} from './slot-desk-key.js';
-import {ZonePlacement} from './zone-placement.js';
-import {zonePlacementKey} from './zone-placement-key.js';
+import {slotClientKey} from './slot-client-key.js';
+import {PlacementService} from './placement-service.js';
+import {placementServiceKey} from './placement-service-key.js';
 
 contributions.register(new class extends Contribution {
 	override readonly name = 'placement';
@@ -22,12 +22,12 @@
 
 	override activate(services: ServiceContainer, store: DisposableStore): void {
 		const settings = services.get(runtimeKeys.settings).placement;
-		const placement = placements.named(settings.policy);
+		const placement = placementPolicies.named(settings.policy);
 		if (placement === undefined) {
-			throw new Error(`placement.policy = ${settings.policy}: one of ${placements.names().join(', ')}`);
+			throw new Error(`placement.policy = ${settings.policy}: one of ${placementPolicies.names().join(', ')}`);
 		}
 
-		const zonePlacement = store.add(new ZonePlacement({
+		const zonePlacement = store.add(new PlacementService({
 			placement,
 			quarantineMilliseconds: settings.quarantineMilliseconds,
 			network: services.get(runtimeKeys.peerNetwork),
@@ -38,8 +38,8 @@
 			random: services.get(runtimeKeys.random),
 			journal: services.get(runtimeKeys.journal),
 		}));
-		services.provide(slotDeskKey, zonePlacement.desk);
-		services.provide(zonePlacementKey, zonePlacement);
+		services.provide(slotClientKey, zonePlacement.slotClient);
+		services.provide(placementServiceKey, zonePlacement);
 		zonePlacement.start();
 	}
 }());
--- a/src/features/placement/policies/fixed-shares.ts
+++ b/src/features/placement/policies/fixed-shares.ts
@@ -1,11 +1,11 @@
 /** Baseline: slots divided once and for all. */
 import type {MemberId} from '../../../base/member-id.js';
-import type {Candidate} from '../candidate.js';
-import {Placement} from '../placement.js';
-import {placements} from '../placements.js';
+import type {TargetCandidate} from '../target-candidate.js';
+import {PlacementPolicy} from '../placement-policy.js';
+import {placementPolicies} from '../placement-policies.js';
 
 /** Gives each entry of the zone an equal share of every target's slots, used or not. */
-class FixedShares extends Placement {
+class FixedShares extends PlacementPolicy {
 	override readonly name = 'fixed-shares';
 	override readonly binding = 'late';
 
@@ -13,8 +13,8 @@
 		return requester;
 	}
 
-	override choose(candidates: readonly Candidate[], requesters: number): Candidate | undefined {
-		let best: Candidate | undefined;
+	override choose(candidates: readonly TargetCandidate[], requesters: number): TargetCandidate | undefined {
+		let best: TargetCandidate | undefined;
 		for (const candidate of candidates) {
 			const isWithinShare = candidate.heldByRequester < candidate.slots / Math.max(1, requesters);
 			if (candidate.free > 0 && isWithinShare && (best === undefined || candidate.free > best.free)) {
@@ -26,4 +26,4 @@
 	}
 }
 
-placements.register(new FixedShares());
+placementPolicies.register(new FixedShares());
--- a/src/features/placement/policies/late-binding.ts
+++ b/src/features/placement/policies/late-binding.ts
@@ -1,18 +1,18 @@
 /** The policy in use. */
-import type {Candidate} from '../candidate.js';
-import {Placement} from '../placement.js';
-import {placements} from '../placements.js';
+import type {TargetCandidate} from '../target-candidate.js';
+import {PlacementPolicy} from '../placement-policy.js';
+import {placementPolicies} from '../placement-policies.js';
 
 /**
  * Waits for a slot, then takes the fittest target: one that isn't slow, in a rack with fewer tasks of the same job, with
  * the most free slots. A target that is due for a probe gets it first, since nothing else brings it back.
  */
-class LateBinding extends Placement {
+class LateBinding extends PlacementPolicy {
 	override readonly name = 'late-binding';
 	override readonly binding = 'late';
 
-	override choose(candidates: readonly Candidate[]): Candidate | undefined {
-		let best: Candidate | undefined;
+	override choose(candidates: readonly TargetCandidate[]): TargetCandidate | undefined {
+		let best: TargetCandidate | undefined;
 		for (const candidate of candidates) {
 			if (candidate.free > 0 && (best === undefined || isBetter(candidate, best))) {
 				best = candidate;
@@ -25,7 +25,7 @@
 
 const conditionOrder = {probe: 0, fit: 1, slow: 2};
 
-function isBetter(left: Candidate, right: Candidate): boolean {
+function isBetter(left: TargetCandidate, right: TargetCandidate): boolean {
 	if (left.condition !== right.condition) {
 		return conditionOrder[left.condition] < conditionOrder[right.condition];
 	}
@@ -37,4 +37,4 @@
 	return left.free > right.free;
 }
 
-placements.register(new LateBinding());
+placementPolicies.register(new LateBinding());
--- a/src/features/placement/policies/power-of-two.ts
+++ b/src/features/placement/policies/power-of-two.ts
@@ -1,15 +1,15 @@
 /** Baseline: the better of two. */
 import type {Random} from '../../../base/random.js';
-import type {Candidate} from '../candidate.js';
-import {Placement} from '../placement.js';
-import {placements} from '../placements.js';
+import type {TargetCandidate} from '../target-candidate.js';
+import {PlacementPolicy} from '../placement-policy.js';
+import {placementPolicies} from '../placement-policies.js';
 
 /** Binds at arrival to the one of two random targets with fewer tasks running and waiting. */
-class PowerOfTwo extends Placement {
+class PowerOfTwo extends PlacementPolicy {
 	override readonly name = 'power-of-two';
 	override readonly binding = 'early';
 
-	override choose(candidates: readonly Candidate[], _requesters: number, random: Random): Candidate | undefined {
+	override choose(candidates: readonly TargetCandidate[], _requesters: number, random: Random): TargetCandidate | undefined {
 		const [first, second] = random.sample(candidates, 2);
 		if (first === undefined || second === undefined) {
 			return first;
@@ -19,8 +19,8 @@
 	}
 }
 
-function loadOf(candidate: Candidate): number {
+function loadOf(candidate: TargetCandidate): number {
 	return candidate.slots - candidate.free + candidate.bound;
 }
 
-placements.register(new PowerOfTwo());
+placementPolicies.register(new PowerOfTwo());
--- a/src/features/placement/policies/random-choice.ts
+++ b/src/features/placement/policies/random-choice.ts
@@ -1,17 +1,17 @@
 /** Baseline: any target. */
 import type {Random} from '../../../base/random.js';
-import type {Candidate} from '../candidate.js';
-import {Placement} from '../placement.js';
-import {placements} from '../placements.js';
+import type {TargetCandidate} from '../target-candidate.js';
+import {PlacementPolicy} from '../placement-policy.js';
+import {placementPolicies} from '../placement-policies.js';
 
 /** Binds at arrival to a target picked at random. */
-class RandomChoice extends Placement {
+class RandomChoice extends PlacementPolicy {
 	override readonly name = 'random';
 	override readonly binding = 'early';
 
-	override choose(candidates: readonly Candidate[], _requesters: number, random: Random): Candidate | undefined {
+	override choose(candidates: readonly TargetCandidate[], _requesters: number, random: Random): TargetCandidate | undefined {
 		return random.sample(candidates, 1)[0];
 	}
 }
 
-placements.register(new RandomChoice());
+placementPolicies.register(new RandomChoice());
--- a/src/features/placement/policies/round-robin.ts
+++ b/src/features/placement/policies/round-robin.ts
@@ -1,18 +1,18 @@
 /** Baseline: one target after the other. */
-import type {Candidate} from '../candidate.js';
-import {Placement} from '../placement.js';
-import {placements} from '../placements.js';
+import type {TargetCandidate} from '../target-candidate.js';
+import {PlacementPolicy} from '../placement-policy.js';
+import {placementPolicies} from '../placement-policies.js';
 
 /** Binds at arrival to the next target in the order of the list. */
-class RoundRobin extends Placement {
+class RoundRobin extends PlacementPolicy {
 	override readonly name = 'round-robin';
 	override readonly binding = 'early';
 	#next = 0;
 
-	override choose(candidates: readonly Candidate[]): Candidate | undefined {
+	override choose(candidates: readonly TargetCandidate[]): TargetCandidate | undefined {
 		this.#next += 1;
 		return candidates[this.#next % Math.max(1, candidates.length)];
 	}
 }
 
-placements.register(new RoundRobin());
+placementPolicies.register(new RoundRobin());
--- a/src/features/placement/learned-samples.ts
+++ b/src/features/placement/profile-samples.ts
@@ -11,7 +11,7 @@
 type Learned<Sample> = {current: Sample; previous: Sample | undefined};
 
 /** A sample for each profile, once there are enough tasks to go by. */
-export class LearnedSamples<Sample extends MeanSample> {
+export class ProfileSamples<Sample extends MeanSample> {
 	readonly #learned = new Map<ProfileName, Learned<Sample>>();
 
 	constructor(private readonly create: () => Sample) {}
--- a/src/features/placement/waiting-ticket.ts
+++ b/src/features/placement/queued-task.ts
@@ -2,13 +2,13 @@
 import type {z} from 'zod';
 import type {MemberId} from '../../base/member-id.js';
 import type {PlacementRequest} from './placement-request.js';
-import type {wantedTaskSchema} from './wanted-task.js';
+import type {requestedTaskSchema} from './requested-task-schema.js';
 
 /** The wish with its requester; times are the arbiter's own monotonic ones. */
-export type WaitingTicket = {
+export type QueuedTask = {
 	readonly requester: MemberId;
 	readonly request: Extract<PlacementRequest, {kind: 'want'}>;
-	readonly task: z.output<typeof wantedTaskSchema>;
+	readonly task: z.output<typeof requestedTaskSchema>;
 	/** See `Placement.partitionOf`. */
 	readonly partition: string;
 	readonly arrivedAt: number;
--- a/src/features/placement/waiting-tickets.ts
+++ b/src/features/placement/queued-tasks.ts
@@ -5,30 +5,30 @@
 import type {TicketId} from '../../base/ticket-id.js';
 import type {Instance} from '../../runtime/instances/instance.js';
 import type {FairQueue} from './fair-queue.js';
-import type {Placement} from './placement.js';
+import type {PlacementPolicy} from './placement-policy.js';
 import type {PlacementRequest} from './placement-request.js';
 import type {Requesters} from './requesters.js';
 import type {RunTimes} from './run-times.js';
-import type {SlotLedger} from './slot-ledger.js';
-import type {WaitingTicket} from './waiting-ticket.js';
+import type {SlotTable} from './slot-table.js';
+import type {QueuedTask} from './queued-task.js';
 
 type Want = Extract<PlacementRequest, {kind: 'want'}>;
 
-type WaitingTicketsParts = {
-	readonly placement: Placement;
+type QueuedTasksParts = {
+	readonly placement: PlacementPolicy;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly queue: FairQueue;
-	readonly ledger: SlotLedger;
+	readonly ledger: SlotTable;
 	readonly runTimes: RunTimes;
 	readonly requesters: Requesters;
 };
 
 /** Late binding keeps wishes in a queue until a slot is free; early binding ties each to a target when it comes. */
-export class WaitingTickets {
-	readonly #tickets = new Map<TicketId, WaitingTicket>();
+export class QueuedTasks {
+	readonly #tickets = new Map<TicketId, QueuedTask>();
 
-	constructor(private readonly parts: WaitingTicketsParts) {}
+	constructor(private readonly parts: QueuedTasksParts) {}
 
 	get size(): number {
 		return this.#tickets.size;
@@ -38,12 +38,12 @@
 		return this.#tickets.has(ticket);
 	}
 
-	of(requester: MemberId): readonly WaitingTicket[] {
+	of(requester: MemberId): readonly QueuedTask[] {
 		return [...this.#tickets.values()].filter(ticket => ticket.requester === requester);
 	}
 
 	/** Those whose deadline has passed. */
-	late(now: number): readonly WaitingTicket[] {
+	late(now: number): readonly QueuedTask[] {
 		return [...this.#tickets.values()].filter(ticket => now >= ticket.deadlineAt);
 	}
 
@@ -53,7 +53,7 @@
 		const expectedMilliseconds = runTimes.mean(request.profile, task.declaredMilliseconds);
 		const deadlineAt = now + request.remainingMilliseconds;
 		const partition = placement.partitionOf(requester);
-		const ticket: WaitingTicket = {
+		const ticket: QueuedTask = {
 			requester, request, task, partition, arrivedAt: now, deadlineAt, expectedMilliseconds, isGone: false,
 		};
 		this.#tickets.set(task.ticket, ticket);
@@ -83,7 +83,7 @@
 		}
 	}
 
-	drop(ticket: WaitingTicket): void {
+	drop(ticket: QueuedTask): void {
 		this.#tickets.delete(ticket.task.ticket);
 		if (this.parts.placement.binding === 'late') {
 			this.parts.queue.remove(ticket);
@@ -93,7 +93,7 @@
 	}
 
 	/** Takes the next wish that a free slot suits, with the target; nothing where there's none. */
-	takeNext(): {readonly ticket: WaitingTicket; readonly instance: Instance} | undefined {
+	takeNext(): {readonly ticket: QueuedTask; readonly instance: Instance} | undefined {
 		const next = this.parts.placement.binding === 'late' ? this.#takeQueued() : this.#takeBound();
 		if (next !== undefined) {
 			this.#tickets.delete(next.ticket.task.ticket);
@@ -102,7 +102,7 @@
 		return next;
 	}
 
-	#takeQueued(): {readonly ticket: WaitingTicket; readonly instance: Instance} | undefined {
+	#takeQueued(): {readonly ticket: QueuedTask; readonly instance: Instance} | undefined {
 		const {placement, clock, random, queue, ledger, requesters} = this.parts;
 		const now = clock.now();
 		let chosen: Instance | undefined;
@@ -118,7 +118,7 @@
 		return ticket === undefined || chosen === undefined ? undefined : {ticket, instance: chosen};
 	}
 
-	#takeBound(): {readonly ticket: WaitingTicket; readonly instance: Instance} | undefined {
+	#takeBound(): {readonly ticket: QueuedTask; readonly instance: Instance} | undefined {
 		const bound = this.parts.ledger.takeBound();
 		if (bound !== undefined) {
 			bound.ticket.isGone = true;
--- a/src/features/placement/reconciliation.ts
+++ b/src/features/placement/reconciliation.ts
@@ -2,19 +2,19 @@
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {TicketId} from '../../base/ticket-id.js';
-import type {Lending} from './lending.js';
+import type {SlotLeases} from './slot-leases.js';
 import type {PlacementReply} from './placement-reply.js';
 import type {PlacementRequest} from './placement-request.js';
 import type {Requesters} from './requesters.js';
-import type {SlotLedger} from './slot-ledger.js';
-import type {WaitingTickets} from './waiting-tickets.js';
+import type {SlotTable} from './slot-table.js';
+import type {QueuedTasks} from './queued-tasks.js';
 
 type ReconciliationParts = {
 	readonly zone: AvailabilityZone;
-	readonly ledger: SlotLedger;
-	readonly lending: Lending;
+	readonly ledger: SlotTable;
+	readonly lending: SlotLeases;
 	readonly requesters: Requesters;
-	readonly waiting: WaitingTickets;
+	readonly waiting: QueuedTasks;
 	readonly outbox: (to: MemberId, reply: PlacementReply) => void;
 };
 
--- a/src/features/placement/wanted-task.ts
+++ b/src/features/placement/requested-task-schema.ts
@@ -4,7 +4,7 @@
 import type {TicketId} from '../../base/ticket-id.js';
 
 /** What the choice of a target depends on; sizes are of the task, labels of the target. */
-export const wantedTaskSchema = z.object({
+export const requestedTaskSchema = z.object({
 	ticket: z.string().max(300).transform(ticket => ticket as TicketId),
 	memoryMegabytes: z.number().min(0),
 	accelerators: z.number().min(0),
--- a/src/features/placement/run-times.ts
+++ b/src/features/placement/run-times.ts
@@ -1,6 +1,6 @@
 /** Learned run times. */
 import type {ProfileName} from '../../base/profile-name.js';
-import {LearnedSamples} from './learned-samples.js';
+import {ProfileSamples} from './profile-samples.js';
 import {RunTimeSample} from './run-time-sample.js';
 
 /** For a task that nobody said or learned anything of. */
@@ -8,7 +8,7 @@
 
 /** Run times by profile; declared ones serve only until there are enough measured ones. */
 export class RunTimes {
-	readonly #samples = new LearnedSamples(() => new RunTimeSample());
+	readonly #samples = new ProfileSamples(() => new RunTimeSample());
 
 	record(profile: ProfileName, milliseconds: number): void {
 		this.#samples.record(profile, milliseconds);
--- a/src/features/placement/silence-inquiry.ts
+++ b/src/features/placement/silence-check.ts
@@ -3,7 +3,7 @@
 import type {MemberId} from '../../base/member-id.js';
 import type {Member} from '../../runtime/peers/member.js';
 import type {Membership} from '../membership/membership.js';
-import type {TenureMessage} from './tenure-message.js';
+import type {ElectionMessage} from './election-message.js';
 
 /** A witness that heard of the holder more recently than this contradicts its silence. */
 const witnessedSilenceMilliseconds = 1500;
@@ -13,13 +13,13 @@
 type Inquiry = {readonly about: MemberId; readonly startedAt: number; denials: number; confirmations: number};
 
 /** Asks all others, and answers those that ask; their silence proves nothing, one answer is needed. */
-export class SilenceInquiry {
+export class SilenceCheck {
 	#inquiry: Inquiry | undefined;
 
 	constructor(
 		private readonly membership: Membership,
 		private readonly clock: Clock,
-		private readonly send: (to: Member, message: TenureMessage) => void,
+		private readonly send: (to: Member, message: ElectionMessage) => void,
 	) {}
 
 	/** Begins to ask, or ends after the time for answers: then it returns how many confirm the silence, if nobody contradicts. */
@@ -44,7 +44,7 @@
 		this.#inquiry = undefined;
 	}
 
-	takeReply(reply: Extract<TenureMessage, {kind: 'aliveReply'}>): void {
+	takeReply(reply: Extract<ElectionMessage, {kind: 'aliveReply'}>): void {
 		if (this.#inquiry?.about !== reply.about) {
 			return;
 		}
--- a/src/features/placement/slot-desk-key.ts
+++ b/src/features/placement/slot-client-key.ts
@@ -1,6 +1,6 @@
 /** The container's name for the slots of all zones. */
 import {ServiceKey} from '../../runtime/kernel/service-key.js';
-import type {SlotDesk} from './slot-desk.js';
+import type {SlotClient} from './slot-client.js';
 
 /** Provided by the placement feature. */
-export const slotDeskKey = new ServiceKey<SlotDesk>('slot-desk');
+export const slotClientKey = new ServiceKey<SlotClient>('slot-client');
--- a/src/features/placement/lending.ts
+++ b/src/features/placement/slot-leases.ts
@@ -4,32 +4,32 @@
 import type {TicketId} from '../../base/ticket-id.js';
 import type {Instance} from '../../runtime/instances/instance.js';
 import type {Journal} from '../../runtime/journal/journal.js';
-import type {HeldSlot} from './held-slot.js';
+import type {LeasedSlot} from './leased-slot.js';
 import type {PlacementRequest} from './placement-request.js';
 import type {RunTimes} from './run-times.js';
-import type {SlotLedger} from './slot-ledger.js';
+import type {SlotTable} from './slot-table.js';
 import type {TargetHealth} from './target-health.js';
 import {taskIdOf} from './task-id-of.js';
-import type {WaitingTicket} from './waiting-ticket.js';
+import type {QueuedTask} from './queued-task.js';
 
 /** What a target may take beyond a task's limit to stop it, and a grant to reach its requester. */
 const leaseMarginMilliseconds = 1500;
 /** A slot that was lent this long before has reached its requester, or never will. */
 const arrivalMilliseconds = 1500;
 
-type LendingParts = {
+type SlotLeasesParts = {
 	readonly clock: Clock;
 	readonly journal: Journal;
-	readonly ledger: SlotLedger;
+	readonly ledger: SlotTable;
 	readonly health: TargetHealth;
 	readonly runTimes: RunTimes;
 };
 
 /** Learns from each slot that comes back how its target does and how long its profile's tasks run. */
-export class Lending {
-	constructor(private readonly parts: LendingParts) {}
+export class SlotLeases {
+	constructor(private readonly parts: SlotLeasesParts) {}
 
-	lend(ticket: WaitingTicket, instance: Instance): void {
+	lend(ticket: QueuedTask, instance: Instance): void {
 		const {clock, journal, ledger, health} = this.parts;
 		const now = clock.now();
 		const {request, task, requester} = ticket;
@@ -56,12 +56,12 @@
 	}
 
 	/** Takes over a slot that a former arbiter lent. */
-	adopt(requester: MemberId, slot: Pick<HeldSlot, 'ticket' | 'target' | 'profile'>, endsInMilliseconds: number): void {
+	adopt(requester: MemberId, slot: Pick<LeasedSlot, 'ticket' | 'target' | 'profile'>, endsInMilliseconds: number): void {
 		const now = this.parts.clock.now();
 		this.parts.ledger.lend({
 			...slot,
 			requester,
-			job: taskIdOf(slot.ticket).split('/')[0] as HeldSlot['job'],
+			job: taskIdOf(slot.ticket).split('/')[0] as LeasedSlot['job'],
 			grantedAt: now,
 			leaseEndsAt: now + endsInMilliseconds + leaseMarginMilliseconds,
 			memoryMegabytes: 0,
@@ -111,13 +111,13 @@
 	}
 
 	/** Frees a slot of whose task nothing was learned. */
-	reclaim(slot: HeldSlot): void {
+	reclaim(slot: LeasedSlot): void {
 		this.parts.ledger.free(slot.ticket);
 		this.parts.health.cancelProbe(slot.target);
 	}
 
 	/** Whether news that lag by so much tell of a slot: those sent before its grant arrived don't. */
-	hasArrived(slot: HeldSlot, lagMilliseconds = 0): boolean {
+	hasArrived(slot: LeasedSlot, lagMilliseconds = 0): boolean {
 		return this.parts.clock.now() - slot.grantedAt > arrivalMilliseconds + lagMilliseconds;
 	}
 }
--- a/src/features/placement/slot-audit.ts
+++ b/src/features/placement/slot-recovery.ts
@@ -2,13 +2,13 @@
 import type {InstanceId} from '../../base/instance-id.js';
 import type {Instance} from '../../runtime/instances/instance.js';
 import type {TargetUsage} from '../../runtime/targets/target-usage.js';
-import type {Lending} from './lending.js';
-import type {SlotLedger} from './slot-ledger.js';
+import type {SlotLeases} from './slot-leases.js';
+import type {SlotTable} from './slot-table.js';
 import {taskIdOf} from './task-id-of.js';
 
 /** Slots of former requesters are orphaned, slots that a former arbiter may have lent are in quarantine. */
-export class SlotAudit {
-	constructor(private readonly ledger: SlotLedger, private readonly lending: Lending) {}
+export class SlotRecovery {
+	constructor(private readonly ledger: SlotTable, private readonly lending: SlotLeases) {}
 
 	/** Withholds every slot that isn't accounted for, since the former arbiter may have lent it. */
 	beginQuarantine(): void {
--- a/src/features/placement/slot-ledger.ts
+++ b/src/features/placement/slot-table.ts
@@ -4,10 +4,10 @@
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {TicketId} from '../../base/ticket-id.js';
 import type {Instance} from '../../runtime/instances/instance.js';
-import type {Candidate} from './candidate.js';
-import type {HeldSlot} from './held-slot.js';
+import type {TargetCandidate} from './target-candidate.js';
+import type {LeasedSlot} from './leased-slot.js';
 import type {TargetHealth} from './target-health.js';
-import type {WaitingTicket} from './waiting-ticket.js';
+import type {QueuedTask} from './queued-task.js';
 
 /** For targets whose row in the instance list gives no number. */
 const defaultSlots = 8;
@@ -18,18 +18,18 @@
 	isOpen: boolean;
 	/** Slots that nobody may use yet, since a former arbiter may have lent them. */
 	quarantined: number;
-	readonly held: Map<TicketId, HeldSlot>;
+	readonly held: Map<TicketId, LeasedSlot>;
 	readonly heldBy: Map<MemberId, number>;
 	usedMemoryMegabytes: number;
 	usedAccelerators: number;
 	/** Tasks that an early binding tied to this target. */
-	readonly bound: WaitingTicket[];
+	readonly bound: QueuedTask[];
 };
 
 /** The slots of one zone. A slot is free again only by its release, the end of its lease, or the target's word. */
-export class SlotLedger {
+export class SlotTable {
 	readonly #targets = new Map<InstanceId, TargetState>();
-	readonly #held = new Map<TicketId, HeldSlot>();
+	readonly #held = new Map<TicketId, LeasedSlot>();
 	/** Running tasks by job and rack. */
 	readonly #jobRacks = new Map<string, number>();
 
@@ -39,7 +39,7 @@
 		return [...this.#targets.values()].filter(state => state.isOpen).map(state => state.instance);
 	}
 
-	get held(): readonly HeldSlot[] {
+	get held(): readonly LeasedSlot[] {
 		return [...this.#held.values()];
 	}
 
@@ -79,11 +79,11 @@
 		this.health.retain(new Set(this.#targets.keys()));
 	}
 
-	slotOf(ticket: TicketId): HeldSlot | undefined {
+	slotOf(ticket: TicketId): LeasedSlot | undefined {
 		return this.#held.get(ticket);
 	}
 
-	lend(slot: HeldSlot): void {
+	lend(slot: LeasedSlot): void {
 		this.free(slot.ticket);
 		this.#held.set(slot.ticket, slot);
 		const state = this.#targets.get(slot.target);
@@ -93,7 +93,7 @@
 		}
 	}
 
-	free(ticket: TicketId): HeldSlot | undefined {
+	free(ticket: TicketId): LeasedSlot | undefined {
 		const slot = this.#held.get(ticket);
 		if (slot === undefined) {
 			return undefined;
@@ -115,12 +115,12 @@
 		}
 	}
 
-	bind(ticket: WaitingTicket, target: InstanceId): void {
+	bind(ticket: QueuedTask, target: InstanceId): void {
 		this.#targets.get(target)?.bound.push(ticket);
 	}
 
 	/** The next task that's bound to a target with a free slot. */
-	takeBound(): {readonly ticket: WaitingTicket; readonly instance: Instance} | undefined {
+	takeBound(): {readonly ticket: QueuedTask; readonly instance: Instance} | undefined {
 		for (const state of this.#targets.values()) {
 			while (state.bound[0]?.isGone === true) {
 				state.bound.shift();
@@ -154,13 +154,13 @@
 	}
 
 	/** True where some open target is large enough and labelled for the task, whatever it runs now. */
-	isPlaceable(ticket: Pick<WaitingTicket, 'task'>): boolean {
+	isPlaceable(ticket: Pick<QueuedTask, 'task'>): boolean {
 		return [...this.#targets.values()].some(state => state.isOpen && suits(state.instance, ticket));
 	}
 
 	/** Targets that suit a task now; with `hasSlot`, only those with a free slot. */
-	candidatesFor(ticket: WaitingTicket, hasSlot: boolean, now: number): readonly Candidate[] {
-		const candidates: Candidate[] = [];
+	candidatesFor(ticket: QueuedTask, hasSlot: boolean, now: number): readonly TargetCandidate[] {
+		const candidates: TargetCandidate[] = [];
 		for (const state of this.#targets.values()) {
 			if (!state.isOpen || (hasSlot && freeOf(state) <= 0) || !suits(state.instance, ticket) || !hasRoom(state, ticket)) {
 				continue;
@@ -175,7 +175,7 @@
 		return candidates;
 	}
 
-	#candidate(state: TargetState, ticket: WaitingTicket, condition: Candidate['condition']): Candidate {
+	#candidate(state: TargetState, ticket: QueuedTask, condition: TargetCandidate['condition']): TargetCandidate {
 		const bound = state.bound.filter(waiting => !waiting.isGone);
 		const boundByRequester = bound.filter(waiting => waiting.requester === ticket.requester).length;
 		return {
@@ -190,7 +190,7 @@
 	}
 
 	/** Adds a slot to, or takes it from, the running counts. */
-	#account(state: TargetState, slot: HeldSlot, sign: 1 | -1): void {
+	#account(state: TargetState, slot: LeasedSlot, sign: 1 | -1): void {
 		state.usedMemoryMegabytes += sign * slot.memoryMegabytes;
 		state.usedAccelerators += sign * slot.accelerators;
 		addTo(state.heldBy, slot.requester, sign);
@@ -218,7 +218,7 @@
 	return slotsOf(state) - state.held.size - state.quarantined;
 }
 
-function suits(instance: Instance, {task}: Pick<WaitingTicket, 'task'>): boolean {
+function suits(instance: Instance, {task}: Pick<QueuedTask, 'task'>): boolean {
 	const labels = instance.labels ?? [];
 	return task.labels.every(label => labels.includes(label))
 		&& !task.avoided.some(label => labels.includes(label))
@@ -228,7 +228,7 @@
 }
 
 /** Room beside the tasks that run there already. */
-function hasRoom(state: TargetState, {task}: WaitingTicket): boolean {
+function hasRoom(state: TargetState, {task}: QueuedTask): boolean {
 	return task.memoryMegabytes + state.usedMemoryMegabytes <= (state.instance.memoryMegabytes ?? Number.POSITIVE_INFINITY)
 		&& (task.accelerators === 0 || task.accelerators + state.usedAccelerators <= (state.instance.accelerators ?? 0));
 }
--- a/src/features/placement/candidate.ts
+++ b/src/features/placement/target-candidate.ts
@@ -2,7 +2,7 @@
 import type {Instance} from '../../runtime/instances/instance.js';
 
 /** A target that can take the task at hand. */
-export type Candidate = {
+export type TargetCandidate = {
 	readonly instance: Instance;
 	/** Slots that are lent to nobody. */
 	readonly free: number;
--- a/src/features/placement/zone-neighbours-of.ts
+++ b/src/features/placement/zone-peers-of.ts
@@ -3,7 +3,7 @@
 import type {Membership} from '../membership/membership.js';
 
 /** Those that could hold the arbiter's office in this entry's place, silent or not. */
-export function zoneNeighboursOf(membership: Membership): readonly Member[] {
+export function zonePeersOf(membership: Membership): readonly Member[] {
 	const {self} = membership;
 	return membership.inZone(self.zone).filter(member => member.id !== self.id);
 }
--- a/test/features/placement/tenure.test.ts
+++ b/test/features/placement/arbiter-election.test.ts
@@ -1,8 +1,8 @@
 /** One arbiter a zone at a time. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {Tenure} from '../../../src/features/placement/tenure.js';
-import type {TenureMessage} from '../../../src/features/placement/tenure-message.js';
+import {ArbiterElection} from '../../../src/features/placement/arbiter-election.js';
+import type {ElectionMessage} from '../../../src/features/placement/election-message.js';
 import type {Member} from '../../../src/runtime/peers/member.js';
 import {FakeClock} from '../../support/fake-clock.js';
 import {FakeMembership} from '../../support/fake-membership.js';
@@ -18,8 +18,8 @@
 		membership.add(member);
 	}
 
-	const sent: Array<{readonly to: Member; readonly message: TenureMessage}> = [];
-	const tenure = new Tenure(membership, clock, new RecordingJournal(), (to, message) => {
+	const sent: Array<{readonly to: Member; readonly message: ElectionMessage}> = [];
+	const tenure = new ArbiterElection(membership, clock, new RecordingJournal(), (to, message) => {
 		sent.push({to, message});
 	});
 	const run = (milliseconds: number) => {
@@ -43,7 +43,7 @@
 test('an entry alone in its zone takes the office', () => {
 	const {tenure, run} = tenureOf([]);
 	run(500);
-	assert.deepEqual([tenure.isHolder, tenure.mayGrant()], [true, true]);
+	assert.deepEqual([tenure.isArbiter, tenure.canGrant()], [true, true]);
 });
 
 test('a newcomer asks for the holder, whatever its rank, and a holder that asks witnesses still tells its zone', () => {
@@ -66,7 +66,7 @@
 	membership.remove(peer);
 	tenure.memberLost({member: peer, manner: 'dead'});
 	run(200);
-	assert.ok(tenure.mayGrant());
+	assert.ok(tenure.canGrant());
 });
 
 test('a silent holder is replaced only when a witness hears nothing of it either', () => {
@@ -79,14 +79,14 @@
 	assert.ok(sent.some(({to, message}) => to === witness && message.kind === 'alive'));
 	tenure.receive(witness, {kind: 'aliveReply', about: peer.id, heardAgoMilliseconds: 200});
 	run(600);
-	assert.equal(tenure.isHolder, false);
+	assert.equal(tenure.isArbiter, false);
 	clock.advance(100);
 	run(200);
 	tenure.receive(witness, {kind: 'aliveReply', about: peer.id, heardAgoMilliseconds: 4000});
 	run(1500);
 	tenure.receive(witness, {kind: 'aliveReply', about: peer.id, heardAgoMilliseconds: 6000});
 	run(1000);
-	assert.equal(tenure.isHolder, true);
+	assert.equal(tenure.isArbiter, true);
 });
 
 test('without any witness a silent holder isn\'t replaced', () => {
@@ -94,7 +94,7 @@
 	hearHolder(peer);
 	membership.silence(peer);
 	run(10_000);
-	assert.equal(tenure.isHolder, false);
+	assert.equal(tenure.isArbiter, false);
 });
 
 test('a holder that nobody answers stops granting before anyone may take over', () => {
@@ -103,9 +103,9 @@
 	run(500);
 	membership.add(peer);
 	membership.silence(peer);
-	assert.ok(tenure.mayGrant());
+	assert.ok(tenure.canGrant());
 	run(1700);
-	assert.equal(tenure.mayGrant(), false);
+	assert.equal(tenure.canGrant(), false);
 });
 
 test('a holder goes on when its neighbour is silent but another zone answers', () => {
@@ -116,7 +116,7 @@
 	membership.silence(peer);
 	run(1700);
 	tenure.receive(witness, {kind: 'heard', stamp: clock.now()});
-	assert.ok(tenure.mayGrant());
+	assert.ok(tenure.canGrant());
 });
 
 test('a paused holder finds out before it grants again, and gives the office up', () => {
@@ -124,16 +124,16 @@
 	const {clock, tenure, run} = tenureOf([]);
 	run(500);
 	clock.sleep(5000);
-	assert.equal(tenure.mayGrant(), false);
+	assert.equal(tenure.canGrant(), false);
 	tenure.tick();
-	assert.equal(tenure.isHolder, false);
+	assert.equal(tenure.isArbiter, false);
 });
 
 test('of two holders the one with the later epoch stays', () => {
 	const {tenure, run, hearHolder} = tenureOf([]);
 	run(500);
 	hearHolder(peer, 7);
-	assert.deepEqual([tenure.isHolder, tenure.holder?.member], [false, peer.id]);
+	assert.deepEqual([tenure.isArbiter, tenure.holder?.member], [false, peer.id]);
 	hearHolder(FakeMembership.memberOf('entry-4'), 3);
 	assert.equal(tenure.holder?.member, peer.id);
 });
@@ -144,5 +144,5 @@
 	membership.add(peer);
 	assert.equal(tenure.resign([]), peer);
 	assert.ok(sent.some(({message}) => message.kind === 'handover'));
-	assert.equal(tenure.mayGrant(), false);
+	assert.equal(tenure.canGrant(), false);
 });
--- a/test/features/placement/placement-world.ts
+++ b/test/features/placement/arbiter-fixture.ts
@@ -9,7 +9,7 @@
 import {Arbiter} from '../../../src/features/placement/arbiter.js';
 import type {PlacementReply} from '../../../src/features/placement/placement-reply.js';
 import type {PlacementRequest} from '../../../src/features/placement/placement-request.js';
-import {placements} from '../../../src/features/placement/placements.js';
+import {placementPolicies} from '../../../src/features/placement/placement-policies.js';
 import '../../../src/features/placement/policies/late-binding.js';
 import type {Instance} from '../../../src/runtime/instances/instance.js';
 import {FakeClock} from '../../support/fake-clock.js';
@@ -22,7 +22,7 @@
 export const entry = 'entry-1#1' as MemberId;
 
 /** Slots are few, so that tests see them run out. */
-export class PlacementWorld {
+export class ArbiterFixture {
 	readonly clock = new FakeClock();
 	readonly journal = new RecordingJournal();
 	readonly sent: Sent[] = [];
@@ -32,7 +32,7 @@
 	constructor(readonly targets: readonly Instance[] = [targetOf('target-1'), targetOf('target-2')]) {
 		this.arbiter = new Arbiter({
 			zone: 'zone-1' as AvailabilityZone,
-			placement: placements.named('late-binding')!,
+			placement: placementPolicies.named('late-binding')!,
 			clock: this.clock,
 			random: new Random(1),
 			journal: this.journal,
--- a/test/features/placement/arbiter.test.ts
+++ b/test/features/placement/arbiter.test.ts
@@ -6,12 +6,12 @@
 import type {ProfileName} from '../../../src/base/profile-name.js';
 import type {TaskId} from '../../../src/base/task-id.js';
 import type {TicketId} from '../../../src/base/ticket-id.js';
-import {PlacementWorld, targetOf} from './placement-world.js';
+import {ArbiterFixture, targetOf} from './arbiter-fixture.js';
 
 const other = 'entry-2#1' as MemberId;
 
 test('no more than a target\'s slots are lent, whoever asks', () => {
-	const world = new PlacementWorld();
+	const world = new ArbiterFixture();
 	world.want('a', 3);
 	world.want('b', 3, {}, other);
 	assert.equal(world.granted.length, 4);
@@ -22,7 +22,7 @@
 test('a task whose connection broke keeps its slot until the target says that it ended', () => {
 	// The connection to a target breaks in the middle of a task, which goes on running there.
 	// Lending the slot again would put a ninth task on a target of eight slots.
-	const world = new PlacementWorld([targetOf('target-1', {slots: 1})]);
+	const world = new ArbiterFixture([targetOf('target-1', {slots: 1})]);
 	world.want('a', 2);
 	world.release('a/0:0', 'lost');
 	assert.equal(world.granted.length, 1);
@@ -35,7 +35,7 @@
 });
 
 test('slots of a dead requester come back with their leases at the latest', () => {
-	const world = new PlacementWorld([targetOf('target-1', {slots: 1})]);
+	const world = new ArbiterFixture([targetOf('target-1', {slots: 1})]);
 	world.want('a', 1, {}, other);
 	world.arbiter.forget(other);
 	world.want('b', 1);
@@ -52,7 +52,7 @@
 test('a new arbiter lends nothing that the former one may have lent', () => {
 	// The arbiter dies with tasks running that nobody else knows of.
 	// Its successor takes all slots for taken until the target, or a survivor, says what runs.
-	const world = new PlacementWorld([targetOf('target-1', {slots: 3})]);
+	const world = new ArbiterFixture([targetOf('target-1', {slots: 3})]);
 	world.arbiter.beginQuarantine();
 	world.want('a', 3);
 	assert.equal(world.granted.length, 0);
@@ -64,7 +64,7 @@
 
 test('a lost grant and a lost release are settled by counting again', () => {
 	// The arbiter lent a slot and the message was lost; the requester still waits, and the slot would be gone for good.
-	const world = new PlacementWorld([targetOf('target-1', {slots: 1})]);
+	const world = new ArbiterFixture([targetOf('target-1', {slots: 1})]);
 	world.want('a', 1);
 	world.clock.advance(2000);
 	world.request({kind: 'renew', held: 0, waiting: 1});
@@ -77,7 +77,7 @@
 });
 
 test('slots that a survivor names to a new arbiter stay its own', () => {
-	const world = new PlacementWorld([targetOf('target-1', {slots: 1})]);
+	const world = new ArbiterFixture([targetOf('target-1', {slots: 1})]);
 	world.request({
 		kind: 'inventory', held: [{
 			ticket: 'a/0:0' as TicketId, target: 'target-1' as InstanceId, profile: 'flight-desk' as ProfileName, endsInMilliseconds: 3000,
@@ -92,7 +92,7 @@
 test('a requester that isn\'t heard gets no slot: others need them', () => {
 	// An entry is paused while its tasks wait. Slots that are lent to it would be idle, and its tasks, which came first,
 	// would hold up everyone else's.
-	const world = new PlacementWorld([targetOf('target-1', {slots: 1})]);
+	const world = new ArbiterFixture([targetOf('target-1', {slots: 1})]);
 	world.want('busy', 1);
 	world.want('a', 1, {}, other);
 	world.clock.advance(1500);
@@ -103,20 +103,20 @@
 });
 
 test('without the right to grant nothing is lent', () => {
-	const world = new PlacementWorld();
+	const world = new ArbiterFixture();
 	world.mayGrant = false;
 	world.want('a', 1);
 	assert.equal(world.granted.length, 0);
 });
 
 test('a leaving target gets no new task', () => {
-	const world = new PlacementWorld([targetOf('target-1', {state: 'leaving'}), targetOf('target-2')]);
+	const world = new ArbiterFixture([targetOf('target-1', {state: 'leaving'}), targetOf('target-2')]);
 	world.want('a', 2);
 	assert.deepEqual(world.granted.map(([, target]) => target), ['target-2', 'target-2']);
 });
 
 test('what can never run is refused at once, whole, with its reason', () => {
-	const world = new PlacementWorld();
+	const world = new ArbiterFixture();
 	const tasks = [0, 5000].map((memoryMegabytes, index) => ({
 		ticket: `a/${index}:0` as TicketId, memoryMegabytes, accelerators: 0, labels: [], avoided: [], excluded: [],
 	}));
@@ -127,7 +127,7 @@
 
 test('what would miss its deadline is refused before anything of it runs, and told when to come back', () => {
 	// A burst fills the queue for longer than a new job's deadline; running a part of it would be wasted.
-	const world = new PlacementWorld();
+	const world = new ArbiterFixture();
 	world.want('a', 100);
 	world.want('b', 2, {remainingMilliseconds: 1000});
 	const [refusal] = world.refusals;
@@ -137,14 +137,14 @@
 });
 
 test('a profile\'s limits hold for all its jobs together', () => {
-	const world = new PlacementWorld();
+	const world = new ArbiterFixture();
 	world.want('a', 2, {limits: {tasksInFlight: 3}});
 	world.want('b', 2, {limits: {tasksInFlight: 3}}, other);
 	assert.deepEqual(world.refusals.map(({cause}) => cause), ['limitReached']);
 });
 
 test('a withdrawn task leaves the queue without a message to a target', () => {
-	const world = new PlacementWorld([targetOf('target-1', {slots: 1})]);
+	const world = new ArbiterFixture([targetOf('target-1', {slots: 1})]);
 	world.want('a', 3);
 	world.request({kind: 'withdraw', tickets: ['a/1:0' as TicketId]});
 	world.release('a/0:0');
@@ -152,7 +152,7 @@
 });
 
 test('a task whose deadline passes while it waits gets its answer then, not later', () => {
-	const world = new PlacementWorld([targetOf('target-1', {slots: 1})]);
+	const world = new ArbiterFixture([targetOf('target-1', {slots: 1})]);
 	world.want('a', 1);
 	world.want('b', 1, {remainingMilliseconds: 1000});
 	world.clock.advance(900);
@@ -163,7 +163,7 @@
 });
 
 test('a small job doesn\'t wait behind a large one', () => {
-	const world = new PlacementWorld([targetOf('target-1', {slots: 1})]);
+	const world = new ArbiterFixture([targetOf('target-1', {slots: 1})]);
 	world.want('large', 20);
 	world.want('small', 1, {}, other);
 	world.release('large/0:0');
@@ -171,7 +171,7 @@
 });
 
 test('a flood of one profile leaves the other its share', () => {
-	const world = new PlacementWorld([targetOf('target-1', {slots: 1})]);
+	const world = new ArbiterFixture([targetOf('target-1', {slots: 1})]);
 	world.want('flood', 20, {profile: 'match-desk' as ProfileName});
 	world.want('calm', 4);
 	for (let round = 0; round < 8; round++) {
--- a/test/features/placement/network-slot-desk.test.ts
+++ b/test/features/placement/network-slot-client.test.ts
@@ -5,12 +5,12 @@
 import type {InstanceId} from '../../../src/base/instance-id.js';
 import type {MemberId} from '../../../src/base/member-id.js';
 import type {TicketId} from '../../../src/base/ticket-id.js';
-import {NetworkSlotDesk} from '../../../src/features/placement/network-slot-desk.js';
+import {NetworkSlotClient} from '../../../src/features/placement/network-slot-client.js';
 import type {PlacementRequest} from '../../../src/features/placement/placement-request.js';
 import {FakeClock} from '../../support/fake-clock.js';
 import {FakeMembership} from '../../support/fake-membership.js';
 import {RecordingJournal} from '../../support/recording-journal.js';
-import {wantOf} from './placement-world.js';
+import {wantOf} from './arbiter-fixture.js';
 
 const zone = 'zone-1' as AvailabilityZone;
 const arbiter = 'entry-2#1' as MemberId;
@@ -19,11 +19,11 @@
 function deskOf() {
 	const clock = new FakeClock();
 	const sent: Array<{readonly to: MemberId; readonly request: PlacementRequest}> = [];
-	const desk = new NetworkSlotDesk(new FakeMembership(FakeMembership.memberOf('entry-1'), clock), clock, new RecordingJournal(), {
+	const desk = new NetworkSlotClient(new FakeMembership(FakeMembership.memberOf('entry-1'), clock), clock, new RecordingJournal(), {
 		request(to, request) {
 			sent.push({to, request});
 		},
-		askHolder() {
+		queryArbiter() {
 			// Nobody answers.
 		},
 	});
@@ -39,7 +39,7 @@
 		},
 	};
 	const want = () => {
-		desk.want(zone, wantOf('a', 1), clock.now() + 8000, listener);
+		desk.requestSlots(zone, wantOf('a', 1), clock.now() + 8000, listener);
 	};
 
 	const grant = (echo: number) => {
--- a/test/support/fake-slot-desk.ts
+++ b/test/support/fake-slot-desk.ts
@@ -4,14 +4,14 @@
 import type {TicketId} from '../../src/base/ticket-id.js';
 import type {JobRefusal} from '../../src/features/placement/job-refusal.js';
 import type {PlacementRequest} from '../../src/features/placement/placement-request.js';
-import {SlotDesk} from '../../src/features/placement/slot-desk.js';
+import {SlotClient} from '../../src/features/placement/slot-client.js';
 import type {SlotListener} from '../../src/features/placement/slot-listener.js';
 
 type Want = Extract<PlacementRequest, {kind: 'want'}>;
 type Wish = {readonly zone: AvailabilityZone; readonly task: Want['tasks'][number]; readonly listener: SlotListener};
 
 /** Records what's asked; with `isGenerous` it grants everything at once. */
-export class FakeSlotDesk extends SlotDesk {
+export class FakeSlotDesk extends SlotClient {
 	readonly wishes = new Map<TicketId, Wish>();
 	readonly asked: Wish[] = [];
 	readonly released: Array<{readonly ticket: TicketId; readonly outcome: string}> = [];
@@ -21,7 +21,7 @@
 		super();
 	}
 
-	override want(zone: AvailabilityZone, want: Want, _deadlineAt: number, listener: SlotListener): void {
+	override requestSlots(zone: AvailabilityZone, want: Want, _deadlineAt: number, listener: SlotListener): void {
 		for (const task of want.tasks) {
 			const wish = {zone, task, listener};
 			this.asked.push(wish);
--- a/test/support/job-tools-of.ts
+++ b/test/support/job-tools-of.ts
@@ -5,14 +5,14 @@
 import {RetryBudget} from '../../src/features/jobs/retry-budget.js';
 import {VariantGuard} from '../../src/features/jobs/variant-guard.js';
 import {ZoneChoice} from '../../src/features/jobs/zone-choice.js';
-import type {SlotDesk} from '../../src/features/placement/slot-desk.js';
+import type {SlotClient} from '../../src/features/placement/slot-client.js';
 import {SilentMetrics} from '../../src/runtime/metrics/silent-metrics.js';
 import type {TargetDriver} from '../../src/runtime/targets/target-driver.js';
 import type {FakeClock} from './fake-clock.js';
 import {RecordingJournal} from './recording-journal.js';
 
 /** Two zones, of which zone-1 is the entry's own. */
-export function jobToolsOf(clock: FakeClock, slots: SlotDesk, driver: TargetDriver): JobTools & {readonly journal: RecordingJournal} {
+export function jobToolsOf(clock: FakeClock, slots: SlotClient, driver: TargetDriver): JobTools & {readonly journal: RecordingJournal} {
 	const journal = new RecordingJournal();
 	const zones = ['zone-1', 'zone-2'] as AvailabilityZone[];
 	return {
