--- a/src/entries/command/read-configuration.ts
+++ b/src/entries/command/read-configuration.ts
@@ -1,21 +1,21 @@
 /** Reads the configuration from the log. */
 import {CancellationSource} from '../../base/cancellation-source.js';
-import {ConfigurationLedger} from '../../features/profiles/configuration-ledger.js';
+import {ConfigurationReplica} from '../../features/profiles/configuration-replica.js';
 import type {LogStream} from '../../runtime/stream/log-stream.js';
 
 /** Folds the whole log; rejects where it can't be read, or doesn't tell the whole configuration any more. */
-export async function readConfiguration(stream: LogStream): Promise<ConfigurationLedger> {
-	const ledger = new ConfigurationLedger();
+export async function readConfiguration(stream: LogStream): Promise<ConfigurationReplica> {
+	const ledger = new ConfigurationReplica();
 	const {token} = new CancellationSource();
 	while (!ledger.isLoaded) {
-		const before = ledger.readFrom;
+		const before = ledger.nextReadOffset;
 		const reading = await stream.read(before, 0, token);
 		if (reading.kind === 'unavailable') {
 			throw new Error(`the log can't be read: ${reading.detail}`);
 		}
 
-		ledger.acceptPage(reading.page);
-		if (!ledger.isLoaded && ledger.readFrom === before) {
+		ledger.applyPage(reading.page);
+		if (!ledger.isLoaded && ledger.nextReadOffset === before) {
 			throw new Error('the log has lost records that no snapshot stands for; ask an entry for its status');
 		}
 	}
--- a/src/entries/daemon/daemon.ts
+++ b/src/entries/daemon/daemon.ts
@@ -8,7 +8,7 @@
 import {membershipKey} from '../../features/membership/membership-key.js';
 import {zonePlacementKey} from '../../features/placement/zone-placement-key.js';
 import {submissionRegistryKey} from '../../features/submissions/submission-registry-key.js';
-import {profileBookKey} from '../../features/profiles/profile-book-key.js';
+import {profileServiceKey} from '../../features/profiles/profile-service-key.js';
 import {runtimeKeys} from '../../runtime/runtime-keys.js';
 import type {Settings} from '../../runtime/settings/settings.js';
 import {wireDaemon} from './wiring.js';
@@ -76,7 +76,7 @@
 		const {services, network} = this.wired;
 		const membership = services.get(membershipKey);
 		const placement = services.get(zonePlacementKey);
-		const book = services.get(profileBookKey);
+		const book = services.get(profileServiceKey);
 		const status = services.get(statusReportKey);
 		status.add('entry', () => ({
 			instance: this.settings.entry.instance, zone: this.settings.entry.zone, member: network.self.id, isStopping: this.#isStopping,
@@ -105,7 +105,7 @@
 		readiness.add('configuration', () => book.isLoaded);
 		const {registrar} = services.get(submissionRegistryKey);
 		status.add('submissions', () => ({
-			isActive: registrar.isActive, records: registrar.records, bytes: registrar.bytes, circle: registrar.circle.map(member => member.id),
+			isActive: registrar.isActive, records: registrar.records, bytes: registrar.bytes, circle: registrar.groupMembers.map(member => member.id),
 		}));
 		readiness.add('registry', () => registrar.isActive);
 		readiness.add('arbiter', () => placement.tenure.holder !== undefined);
--- a/src/features/intake/intake.contribution.ts
+++ b/src/features/intake/intake.contribution.ts
@@ -5,7 +5,7 @@
 import type {ServiceContainer} from '../../runtime/kernel/service-container.js';
 import {runtimeKeys} from '../../runtime/runtime-keys.js';
 import {jobServiceKey} from '../jobs/job-service-key.js';
-import {submissionDeskKey} from '../submissions/submission-desk-key.js';
+import {registryClientKey} from '../submissions/registry-client-key.js';
 import {Intake} from './intake.js';
 import {intakeKey} from './intake-key.js';
 import {readinessKey} from './readiness-key.js';
@@ -22,7 +22,7 @@
 				zone: entry.zone, address: entry.address, port: entry.httpPort, ...limits,
 			},
 			services.get(jobServiceKey),
-			services.get(submissionDeskKey),
+			services.get(registryClientKey),
 			{readiness: services.get(readinessKey), status: services.get(statusReportKey)},
 		)));
 	}
--- a/src/features/intake/intake.ts
+++ b/src/features/intake/intake.ts
@@ -10,7 +10,7 @@
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {Verdict} from '../../base/verdict.js';
 import type {JobService} from '../jobs/job-service.js';
-import type {SubmissionDesk} from '../submissions/submission-desk.js';
+import type {RegistryClient} from '../submissions/registry-client.js';
 import {jobBodySchema} from './job-body-schema.js';
 import type {Readiness} from './readiness.js';
 import {responseOf} from './response-of.js';
@@ -36,7 +36,7 @@
 	constructor(
 		private readonly limits: IntakeLimits,
 		private readonly jobs: JobService,
-		private readonly submissions: SubmissionDesk,
+		private readonly submissions: RegistryClient,
 		private readonly state: IntakeState,
 	) {}
 
--- a/src/features/jobs/job-service.ts
+++ b/src/features/jobs/job-service.ts
@@ -5,9 +5,9 @@
 import type {JobAnswer} from '../../base/job-answer.js';
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {Verdict} from '../../base/verdict.js';
-import type {ProfileBook} from '../profiles/profile-book.js';
+import type {ProfileService} from '../profiles/profile-service.js';
 import type {ProfileRevision} from '../profiles/profile-revision.js';
-import type {SubmissionDesk} from '../submissions/submission-desk.js';
+import type {RegistryClient} from '../submissions/registry-client.js';
 import type {Job} from './job.js';
 import type {JobRequest} from './job-request.js';
 import type {JobTools} from './job-tools.js';
@@ -26,8 +26,8 @@
 	#onIdle: (() => void) | undefined;
 
 	constructor(
-		private readonly profiles: ProfileBook,
-		private readonly submissions: SubmissionDesk,
+		private readonly profiles: ProfileService,
+		private readonly submissions: RegistryClient,
 		private readonly tools: JobTools,
 	) {}
 
--- a/src/features/jobs/jobs.contribution.ts
+++ b/src/features/jobs/jobs.contribution.ts
@@ -5,8 +5,8 @@
 import type {ServiceContainer} from '../../runtime/kernel/service-container.js';
 import {runtimeKeys} from '../../runtime/runtime-keys.js';
 import {slotDeskKey} from '../placement/slot-desk-key.js';
-import {profileBookKey} from '../profiles/profile-book-key.js';
-import {submissionDeskKey} from '../submissions/submission-desk-key.js';
+import {profileServiceKey} from '../profiles/profile-service-key.js';
+import {registryClientKey} from '../submissions/registry-client-key.js';
 import {JobService} from './job-service.js';
 import {jobServiceKey} from './job-service-key.js';
 import {RetryBudget} from './retry-budget.js';
@@ -21,8 +21,8 @@
 		const {entry} = services.get(runtimeKeys.settings);
 		const clock = services.get(runtimeKeys.clock);
 		const journal = services.get(runtimeKeys.journal);
-		const submissions = services.get(submissionDeskKey);
-		const jobs = new JobService(services.get(profileBookKey), submissions, {
+		const submissions = services.get(registryClientKey);
+		const jobs = new JobService(services.get(profileServiceKey), submissions, {
 			clock,
 			journal,
 			metrics: services.get(runtimeKeys.metrics),
--- a/src/features/profiles/configuration-ledger.ts
+++ b/src/features/profiles/configuration-replica.ts
@@ -23,7 +23,7 @@
  * Takes records from the log and from peers in any order and any number of times. A source that disagrees with what was
  * folded is refused and reported: the configuration in force stays as it is.
  */
-export class ConfigurationLedger {
+export class ConfigurationReplica {
 	#configuration = emptyConfiguration;
 	#isLoaded = false;
 	#latestSnapshot: StreamOffset | undefined;
@@ -46,7 +46,7 @@
 	}
 
 	/** Where to read from: the last folded record is read again, since a changed one tells of a replaced log. */
-	get readFrom(): StreamOffset {
+	get nextReadOffset(): StreamOffset {
 		const last = this.#gap.at(-1);
 		if (last !== undefined) {
 			return (last.offset + 1) as StreamOffset;
@@ -57,7 +57,7 @@
 	}
 
 	/** Takes what a read from the log returned. */
-	acceptPage(page: StreamPage): Acceptance {
+	applyPage(page: StreamPage): Acceptance {
 		const {nextOffset} = this.#configuration;
 		// A log that lost its end would take operators' changes at offsets that were in force before with another
 		// content; following it would put a newer configuration back to an older one.
--- a/src/features/profiles/log-profile-book.ts
+++ b/src/features/profiles/log-profile-book.ts
@@ -18,9 +18,9 @@
 import type {Membership} from '../membership/membership.js';
 import type {Acceptance} from './acceptance.js';
 import type {Configuration} from './configuration.js';
-import {ConfigurationLedger} from './configuration-ledger.js';
+import {ConfigurationReplica} from './configuration-replica.js';
 import {configurationMessageSchema} from './configuration-message-schema.js';
-import {ProfileBook} from './profile-book.js';
+import {ProfileService} from './profile-service.js';
 import type {ProfileRevision} from './profile-revision.js';
 import {snapshotOf} from './snapshot-of.js';
 
@@ -47,8 +47,8 @@
 };
 
 /** Owns the reading loop, the ledger, and the exchange with peers. */
-export class LogProfileBook extends ProfileBook implements Disposable {
-	readonly #ledger = new ConfigurationLedger();
+export class LogProfileBook extends ProfileService implements Disposable {
+	readonly #ledger = new ConfigurationReplica();
 	readonly #advance = new Emitter<Configuration>();
 	readonly #cancellation = new CancellationSource();
 	readonly #store = new DisposableStore();
@@ -66,7 +66,7 @@
 		return this.#ledger.configuration;
 	}
 
-	override get onDidAdvance() {
+	override get onDidChangeConfiguration() {
 		return this.#advance.event;
 	}
 
@@ -114,13 +114,13 @@
 	/** Returns whether the next read may follow at once. */
 	async #readOnce(): Promise<boolean> {
 		const wait = this.isLoaded ? readWaitMilliseconds : 0;
-		const reading = await this.parts.stream.read(this.#ledger.readFrom, wait, this.#cancellation.token);
+		const reading = await this.parts.stream.read(this.#ledger.nextReadOffset, wait, this.#cancellation.token);
 		if (reading.kind === 'unavailable') {
 			this.#noteProblem('unavailable', reading.detail);
 			return false;
 		}
 
-		const acceptance = this.#ledger.acceptPage(reading.page);
+		const acceptance = this.#ledger.applyPage(reading.page);
 		this.#accept(acceptance, 'log');
 		this.#noteProblem(acceptance.problem, `the log ends at ${reading.page.nextOffset}`);
 		return acceptance.steps.length > 0;
--- a/src/features/profiles/profile-book.ts
+++ b/src/features/profiles/profile-service.ts
@@ -5,14 +5,14 @@
 import type {ProfileRevision} from './profile-revision.js';
 
 /** Read by the features that treat jobs. What it gives never goes back to an earlier offset. */
-export abstract class ProfileBook {
+export abstract class ProfileService {
 	/** False until the first configuration has come from the log or from a peer. */
 	abstract readonly isLoaded: boolean;
 
 	abstract readonly configuration: Configuration;
 
 	/** Fires after each step forward. */
-	abstract readonly onDidAdvance: Event<Configuration>;
+	abstract readonly onDidChangeConfiguration: Event<Configuration>;
 
 	abstract profileNamed(name: ProfileName): ProfileRevision | undefined;
 }
--- a/src/features/profiles/profiles.contribution.ts
+++ b/src/features/profiles/profiles.contribution.ts
@@ -7,7 +7,7 @@
 import {membershipKey} from '../membership/membership-key.js';
 import {LogProfileBook} from './log-profile-book.js';
 import {SnapshotKeeper} from './snapshot-keeper.js';
-import {profileBookKey} from './profile-book-key.js';
+import {profileServiceKey} from './profile-service-key.js';
 
 const streamName = 'configuration';
 
@@ -24,7 +24,7 @@
 			random: services.get(runtimeKeys.random),
 			journal: services.get(runtimeKeys.journal),
 		}));
-		services.provide(profileBookKey, book);
+		services.provide(profileServiceKey, book);
 		const keeper = store.add(new SnapshotKeeper({
 			book,
 			stream: services.get(runtimeKeys.streams).open(streamName),
--- a/src/features/profiles/snapshot-keeper.ts
+++ b/src/features/profiles/snapshot-keeper.ts
@@ -7,7 +7,7 @@
 import type {Random} from '../../base/random.js';
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {LogStream} from '../../runtime/stream/log-stream.js';
-import type {ProfileBook} from './profile-book.js';
+import type {ProfileService} from './profile-service.js';
 import {snapshotOf} from './snapshot-of.js';
 
 const hourMilliseconds = 3_600_000;
@@ -21,7 +21,7 @@
 const soonMilliseconds = 30_000;
 
 type SnapshotKeeperParts = {
-	readonly book: ProfileBook;
+	readonly book: ProfileService;
 	readonly stream: LogStream;
 	readonly clock: Clock;
 	readonly random: Random;
@@ -42,7 +42,7 @@
 
 	start(): void {
 		this.#wait(periodMilliseconds);
-		this.#store.add(this.parts.book.onDidAdvance(({nextOffset}) => {
+		this.#store.add(this.parts.book.onDidChangeConfiguration(({nextOffset}) => {
 			this.#advanced(nextOffset);
 		}));
 	}
--- a/src/features/submissions/open-submission-desk.ts
+++ b/src/features/submissions/no-op-registry-client.ts
@@ -4,13 +4,13 @@
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {Claim} from './claim.js';
 import type {Submission} from './submission.js';
-import {SubmissionDesk} from './submission-desk.js';
+import {RegistryClient} from './registry-client.js';
 
 /**
  * Grants every claim. For the benchmark only, which measures what the registry costs: without it a job that's submitted
  * twice runs twice.
  */
-export class OpenSubmissionDesk extends SubmissionDesk {
+export class NoOpRegistryClient extends RegistryClient {
 	override readonly onDidRequestCancel = new Emitter<SubmissionId>().event;
 
 	override async claim(_submission: Submission, _token: CancellationToken): Promise<Claim> {
--- a/src/features/submissions/registrar.ts
+++ b/src/features/submissions/registrar.ts
@@ -97,7 +97,7 @@
 		return this.#store.bytes;
 	}
 
-	get circle(): readonly Member[] {
+	get groupMembers(): readonly Member[] {
 		return this.#view.members;
 	}
 
--- a/src/features/submissions/submission-desk.ts
+++ b/src/features/submissions/registry-client.ts
@@ -8,7 +8,7 @@
 import type {Submission} from './submission.js';
 
 /** The registry of submissions as one entry uses it, whichever entries keep the records. */
-export abstract class SubmissionDesk {
+export abstract class RegistryClient {
 	/** Fires when somebody asks for the end of a submission that runs at this entry. */
 	abstract readonly onDidRequestCancel: Event<SubmissionId>;
 
--- a/src/features/submissions/registry-submission-desk.ts
+++ b/src/features/submissions/registry-submission-desk.ts
@@ -15,7 +15,7 @@
 import {OpenClaims} from './open-claims.js';
 import type {RegistryMessage} from './registry-message.js';
 import {Settlements} from './settlements.js';
-import {SubmissionDesk} from './submission-desk.js';
+import {RegistryClient} from './registry-client.js';
 import type {Submission} from './submission.js';
 
 /** The owner calls `tick` this often. */
@@ -34,7 +34,7 @@
 };
 
 /** Keeps every claim until it's decided or its time is over, and every settlement until it's taken. */
-export class RegistrySubmissionDesk extends SubmissionDesk {
+export class RegistrySubmissionDesk extends RegistryClient {
 	static readonly tickMilliseconds = tickMilliseconds;
 
 	readonly #claims: OpenClaims;
--- a/src/features/submissions/submission-registry.ts
+++ b/src/features/submissions/submission-registry.ts
@@ -36,7 +36,7 @@
 
 /** Owns both parts and carries messages between them and the network. */
 export class SubmissionRegistry implements Disposable {
-	readonly desk: RegistrySubmissionDesk;
+	readonly client: RegistrySubmissionDesk;
 	readonly registrar: Registrar;
 	readonly #store = new DisposableStore();
 	readonly #cancellation = new CancellationSource();
@@ -47,7 +47,7 @@
 			this.#send(to, message);
 		};
 
-		this.desk = new RegistrySubmissionDesk({
+		this.client = new RegistrySubmissionDesk({
 			self: membership.self.id,
 			zones: settings.entry.zones,
 			clock,
@@ -81,7 +81,7 @@
 			this.registrar.tick();
 		}));
 		this.#store.add(repeat(clock, RegistrySubmissionDesk.tickMilliseconds, () => {
-			this.desk.tick();
+			this.client.tick();
 		}));
 		void this.#enter();
 	}
@@ -89,7 +89,7 @@
 	/** Hands the records over to the others; resolves when they have them, or the caller's patience ends. */
 	async leave(): Promise<void> {
 		this.registrar.leave();
-		while (!(this.registrar.hasHandedOver && this.desk.isSettled)) {
+		while (!(this.registrar.hasHandedOver && this.client.isSettled)) {
 			await wait(this.parts.clock, handoverPollMilliseconds);
 		}
 
@@ -152,7 +152,7 @@
 	#deliver(from: MemberId, message: RegistryMessage): void {
 		match(message)
 			.with({kind: P.union('granted', 'waiting', 'concluded', 'redirect', 'settled', 'cancelRequested')}, reply => {
-				this.desk.receive(from, reply);
+				this.client.receive(from, reply);
 			})
 			.otherwise(request => {
 				this.registrar.receive(from, request);
--- a/src/features/submissions/submissions.contribution.ts
+++ b/src/features/submissions/submissions.contribution.ts
@@ -5,8 +5,8 @@
 import type {ServiceContainer} from '../../runtime/kernel/service-container.js';
 import {runtimeKeys} from '../../runtime/runtime-keys.js';
 import {membershipKey} from '../membership/membership-key.js';
-import {OpenSubmissionDesk} from './open-submission-desk.js';
-import {submissionDeskKey} from './submission-desk-key.js';
+import {NoOpRegistryClient} from './no-op-registry-client.js';
+import {registryClientKey} from './registry-client-key.js';
 import {SubmissionRegistry} from './submission-registry.js';
 import {submissionRegistryKey} from './submission-registry-key.js';
 import {ZoneBirths} from './zone-births.js';
@@ -29,7 +29,7 @@
 			journal: services.get(runtimeKeys.journal),
 		}));
 		services.provide(submissionRegistryKey, registry);
-		services.provide(submissionDeskKey, settings.registry.enabled ? registry.desk : new OpenSubmissionDesk());
+		services.provide(registryClientKey, settings.registry.enabled ? registry.client : new NoOpRegistryClient());
 		registry.start();
 	}
 }());
--- a/test/features/intake/intake.test.ts
+++ b/test/features/intake/intake.test.ts
@@ -10,9 +10,9 @@
 import {JobService} from '../../../src/features/jobs/job-service.js';
 import type {Configuration} from '../../../src/features/profiles/configuration.js';
 import {emptyConfiguration} from '../../../src/features/profiles/empty-configuration.js';
-import {ProfileBook} from '../../../src/features/profiles/profile-book.js';
+import {ProfileService} from '../../../src/features/profiles/profile-service.js';
 import type {ProfileRevision} from '../../../src/features/profiles/profile-revision.js';
-import {OpenSubmissionDesk} from '../../../src/features/submissions/open-submission-desk.js';
+import {NoOpRegistryClient} from '../../../src/features/submissions/no-op-registry-client.js';
 import {FakeClock} from '../../support/fake-clock.js';
 import {FakeSlotDesk} from '../../support/fake-slot-desk.js';
 import {FakeTargetDriver} from '../../support/fake-target-driver.js';
@@ -22,9 +22,9 @@
 
 const matchSnapshot = snapshotsOf(import.meta.url);
 
-class FixedBook extends ProfileBook {
+class FixedBook extends ProfileService {
 	override readonly configuration = emptyConfiguration;
-	override readonly onDidAdvance = new Emitter<Configuration>().event;
+	override readonly onDidChangeConfiguration = new Emitter<Configuration>().event;
 	override isLoaded = true;
 
 	override profileNamed(name: ProfileName): ProfileRevision | undefined {
@@ -39,7 +39,7 @@
 const driver = new FakeTargetDriver();
 const book = new FixedBook();
 const readiness = new Readiness();
-const submissions = new OpenSubmissionDesk();
+const submissions = new NoOpRegistryClient();
 const jobs = new JobService(book, submissions, jobToolsOf(new FakeClock(), new FakeSlotDesk(true), driver));
 const intake = new Intake(
 	{
--- a/test/features/profiles/configuration-ledger.test.ts
+++ b/test/features/profiles/configuration-ledger.test.ts
@@ -5,7 +5,7 @@
 import type {JsonValue} from '../../../src/base/json-value.js';
 import type {StreamOffset} from '../../../src/base/stream-offset.js';
 import type {Configuration} from '../../../src/features/profiles/configuration.js';
-import {ConfigurationLedger} from '../../../src/features/profiles/configuration-ledger.js';
+import {ConfigurationReplica} from '../../../src/features/profiles/configuration-replica.js';
 import {emptyConfiguration} from '../../../src/features/profiles/empty-configuration.js';
 import {foldRecord} from '../../../src/features/profiles/fold-record.js';
 import {snapshotOf} from '../../../src/features/profiles/snapshot-of.js';
@@ -43,17 +43,17 @@
 test('a log that comes back shorter is reported, and changes nothing', () => {
 	// The platform restores its log from a backup that lacks the last change.
 	// Entries that followed it would put a retired profile back into force.
-	const ledger = new ConfigurationLedger();
-	ledger.acceptPage(pageOf(three, 0));
-	assert.equal(ledger.acceptPage(pageOf(three.slice(0, 2), ledger.readFrom)).problem, 'wentBack');
+	const ledger = new ConfigurationReplica();
+	ledger.applyPage(pageOf(three, 0));
+	assert.equal(ledger.applyPage(pageOf(three.slice(0, 2), ledger.nextReadOffset)).problem, 'wentBack');
 	assert.equal(ledger.configuration.nextOffset, 3);
 });
 
 test('a log with another record where one was folded is reported, and not followed', () => {
-	const ledger = new ConfigurationLedger();
-	ledger.acceptPage(pageOf(three, 0));
+	const ledger = new ConfigurationReplica();
+	ledger.applyPage(pageOf(three, 0));
 	const other = [...three.slice(0, 2), ...recordsOf([publish('x', 9), publish('y', 10)], 2)];
-	const acceptance = ledger.acceptPage(pageOf(other, ledger.readFrom));
+	const acceptance = ledger.applyPage(pageOf(other, ledger.nextReadOffset));
 	assert.deepEqual([acceptance.problem, acceptance.steps.length, ledger.configuration.profiles.has('c' as never)], ['replaced', 0, true]);
 });
 
@@ -63,23 +63,23 @@
 	const afterFirst = foldRecord(emptyConfiguration, three[0]!).configuration;
 	const upTo = foldRecord(afterFirst, three[1]!).configuration;
 	const all = [...three, ...recordsOf([snapshotBody(upTo), publish('d', 4)], 3)];
-	const ledger = new ConfigurationLedger();
-	assert.equal(ledger.acceptPage(pageOf(all, 0, 2)).problem, undefined);
+	const ledger = new ConfigurationReplica();
+	assert.equal(ledger.applyPage(pageOf(all, 0, 2)).problem, undefined);
 	assert.deepEqual([...ledger.configuration.profiles.keys()], ['a', 'b', 'c', 'd']);
-	const blind = new ConfigurationLedger();
-	assert.deepEqual([blind.acceptPage(pageOf(three, 0, 2)).problem, blind.isLoaded], ['trimmed', false]);
+	const blind = new ConfigurationReplica();
+	assert.deepEqual([blind.applyPage(pageOf(three, 0, 2)).problem, blind.isLoaded], ['trimmed', false]);
 });
 
 test('a peer with another history is refused', () => {
-	const ledger = new ConfigurationLedger();
-	ledger.acceptPage(pageOf(three, 0));
+	const ledger = new ConfigurationReplica();
+	ledger.applyPage(pageOf(three, 0));
 	const acceptance = ledger.acceptTail(3 as StreamOffset, 'another digest', recordsOf([publish('d', 4)], 3));
 	assert.deepEqual([acceptance.problem, ledger.configuration.nextOffset], ['replaced', 3]);
 });
 
 test('a peer\'s older state changes nothing', () => {
-	const ledger = new ConfigurationLedger();
-	ledger.acceptPage(pageOf(three, 0));
+	const ledger = new ConfigurationReplica();
+	ledger.applyPage(pageOf(three, 0));
 	const older = foldRecord(emptyConfiguration, three[0]!).configuration;
 	ledger.acceptState(snapshotOf(older));
 	assert.equal(ledger.configuration.nextOffset, 3);
@@ -133,7 +133,7 @@
 	}), {minLength: 1, maxLength: 25});
 	fc.assert(fc.property(bodies, reads, (drawn, steps) => {
 		const {records, states} = history(drawn);
-		const ledger = new ConfigurationLedger();
+		const ledger = new ConfigurationReplica();
 		for (const {kind, first, end} of steps) {
 			const before = ledger.configuration.nextOffset;
 			const last = Math.min(end, records.length - 1);
@@ -148,7 +148,7 @@
 });
 
 function offer(
-	ledger: ConfigurationLedger,
+	ledger: ConfigurationReplica,
 	{records, states}: ReturnType<typeof history>,
 	{kind, first, last}: {readonly kind: string; readonly first: number; readonly last: number},
 ): void {
@@ -158,7 +158,7 @@
 		ledger.acceptTail(first as StreamOffset, states[first]!.digest, records.slice(first, last + 1));
 	} else {
 		const firstOffset = kind === 'trimmed' ? first : 0;
-		const from = kind === 'old page' ? 0 : ledger.readFrom;
-		ledger.acceptPage(pageOf(records, from, firstOffset, last));
+		const from = kind === 'old page' ? 0 : ledger.nextReadOffset;
+		ledger.applyPage(pageOf(records, from, firstOffset, last));
 	}
 }
