--- a/src/entries/daemon/daemon.ts
+++ b/src/entries/daemon/daemon.ts
@@ -63,7 +63,7 @@
 		await Promise.race([registry.leave(), wait(clock, handoverMilliseconds)]);
 		// Without a whole handover the others must take this entry for lost, and its records too.
 		if (registry.registrar.hasHandedOver) {
-			services.get(membershipKey).announceLeft();
+			services.get(membershipKey).announceLeave();
 		}
 
 		journal.record('stopped', {unfinished});
@@ -87,7 +87,7 @@
 			isLoaded: book.isLoaded,
 			profiles: [...book.configuration.profiles.values()].map(({profile, revision, state}) => ({name: profile.name, revision, state})),
 		}));
-		status.add('membership', () => ({members: membership.all.map(member => ({id: member.id, zone: member.zone, heardAgoMilliseconds: membership.heardAgo(member.id)}))}));
+		status.add('membership', () => ({members: membership.peers.map(member => ({id: member.id, zone: member.zone, heardAgoMilliseconds: membership.millisecondsSinceHeard(member.id)}))}));
 		status.add('placement', () => ({
 			arbiter: placement.tenure.holder?.member,
 			isArbiter: placement.tenure.isHolder,
--- a/src/features/membership/listed-membership.ts
+++ b/src/features/membership/instance-list-membership.ts
@@ -13,7 +13,7 @@
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {Member} from '../../runtime/peers/member.js';
 import type {PeerNetwork} from '../../runtime/peers/peer-network.js';
-import type {Loss} from './loss.js';
+import type {MemberLoss} from './member-loss.js';
 import {Membership} from './membership.js';
 
 const channel = 'membership';
@@ -27,7 +27,7 @@
 /** Peers of the own zone that are pinged; this bounds the traffic of an entry. */
 const watchedInZone = 8;
 /** Beyond this an entry that doesn't hear of a member most likely isn't connected to it. */
-const meaningfulMilliseconds = 20_000;
+const lastHeardLimitMilliseconds = 20_000;
 
 const messageSchema = z.object({kind: z.literal('left')});
 
@@ -35,7 +35,7 @@
  * Members are met through their handshakes and lost by proof: a refused connection, a newer life at the address, a
  * farewell, or silence together with the list's word that they're gone. Silence alone proves nothing.
  */
-export class ListedMembership extends Membership implements Disposable {
+export class InstanceListMembership extends Membership implements Disposable {
 	readonly #members = new Map<MemberId, Member>();
 	readonly #metAt = new Map<MemberId, number>();
 	readonly #delistedAt = new Map<MemberId, number>();
@@ -43,7 +43,7 @@
 	readonly #left = new Set<MemberId>();
 	readonly #store = new DisposableStore();
 	readonly #join = this.#store.add(new Emitter<Member>());
-	readonly #lose = this.#store.add(new Emitter<Loss>());
+	readonly #lose = this.#store.add(new Emitter<MemberLoss>());
 	#listed: readonly Instance[] = [];
 	#listedAt: number | undefined;
 
@@ -55,21 +55,21 @@
 	) {
 		super();
 		this.#store.add(network.onDidMeet(member => {
-			this.#met(member);
+			this.#addMember(member);
 		}));
 		this.#store.add(network.onDidProveDead(id => {
-			this.#lost(id, 'dead');
+			this.#removeMember(id, 'dead');
 		}));
 		this.#store.add(network.onDidRefuse(address => {
 			this.#refusedAddresses.add(address);
 		}));
 		this.#store.add(network.onDidReceive(({from, message}) => {
 			if (message.channel === channel && messageSchema.safeParse(message.body).success) {
-				this.#lost(from.id, 'left');
+				this.#removeMember(from.id, 'left');
 			}
 		}));
 		this.#store.add(list.onDidRead(snapshot => {
-			this.#read(snapshot);
+			this.#handleSnapshot(snapshot);
 		}));
 	}
 
@@ -77,7 +77,7 @@
 		return this.network.self;
 	}
 
-	override get all(): readonly Member[] {
+	override get peers(): readonly Member[] {
 		return [...this.#members.values()];
 	}
 
@@ -89,21 +89,21 @@
 		return this.#lose.event;
 	}
 
-	override get listedAt(): number | undefined {
+	override get lastListedAt(): number | undefined {
 		return this.#listedAt;
 	}
 
-	override inZone(zone: AvailabilityZone): readonly Member[] {
-		const others = this.all.filter(member => member.zone === zone);
+	override membersInZone(zone: AvailabilityZone): readonly Member[] {
+		const others = this.peers.filter(member => member.zone === zone);
 		return this.self.zone === zone ? [this.self, ...others] : others;
 	}
 
-	override memberOf(member: MemberId): Member | undefined {
+	override findMember(member: MemberId): Member | undefined {
 		return member === this.self.id ? this.self : this.#members.get(member);
 	}
 
-	override isUnresolved(zone: AvailabilityZone): boolean {
-		const met = new Set(this.all.map(member => member.peerAddress));
+	override hasUnresolvedInstances(zone: AvailabilityZone): boolean {
+		const met = new Set(this.peers.map(member => member.peerAddress));
 		return this.#listed.some(({peerAddress, zone: listedZone, id}) => listedZone === zone
 			&& id !== this.self.instance
 			&& peerAddress !== undefined
@@ -111,7 +111,7 @@
 			&& !this.#refusedAddresses.has(peerAddress));
 	}
 
-	override isSilent(member: MemberId): boolean {
+	override isUnresponsive(member: MemberId): boolean {
 		// Only the own zone is pinged; of others only their silence to a message tells anything.
 		if (this.#members.get(member)?.zone !== this.self.zone) {
 			const unansweredSince = this.network.unansweredSince(member);
@@ -122,22 +122,22 @@
 		return heardAt === undefined || this.clock.now() - heardAt > silenceMilliseconds;
 	}
 
-	override heardAgo(member: MemberId): number | undefined {
+	override millisecondsSinceHeard(member: MemberId): number | undefined {
 		const heardAt = this.network.lastHeard(member);
 		const ago = heardAt === undefined ? undefined : this.clock.now() - heardAt;
-		return ago !== undefined && ago < meaningfulMilliseconds ? ago : undefined;
+		return ago !== undefined && ago < lastHeardLimitMilliseconds ? ago : undefined;
 	}
 
-	override isOutOfTouch(member: MemberId): boolean {
+	override isRoundTripOverdue(member: MemberId): boolean {
 		const reachedAt = this.network.lastReached(member) ?? this.#metAt.get(member);
 		return reachedAt === undefined || this.clock.now() - reachedAt >= silenceMilliseconds;
 	}
 
-	override reachedAt(member: MemberId): number | undefined {
+	override lastRoundTripAt(member: MemberId): number | undefined {
 		return this.network.lastReached(member);
 	}
 
-	override announceLeft(): void {
+	override announceLeave(): void {
 		for (const member of this.#members.values()) {
 			this.network.send(member, {channel, body: {kind: 'left'}});
 		}
@@ -147,7 +147,7 @@
 		this.#store.dispose();
 	}
 
-	#met(member: Member): void {
+	#addMember(member: Member): void {
 		if (this.#left.has(member.id)) {
 			return;
 		}
@@ -156,11 +156,11 @@
 		this.#metAt.set(member.id, this.clock.now());
 		this.#refusedAddresses.delete(member.peerAddress);
 		this.journal.record('memberMet', {member: member.id, zone: member.zone});
-		this.#watch();
+		this.#updateWatched();
 		this.#join.fire(member);
 	}
 
-	#lost(id: MemberId, manner: Loss['manner']): void {
+	#removeMember(id: MemberId, manner: MemberLoss['manner']): void {
 		const member = this.#members.get(id);
 		if (member === undefined) {
 			return;
@@ -170,12 +170,12 @@
 		this.#delistedAt.delete(id);
 		this.#left.add(id);
 		this.journal.record(manner === 'left' ? 'memberLeft' : 'memberDead', {member: id, zone: member.zone});
-		this.#watch();
+		this.#updateWatched();
 		this.#lose.fire({member, manner});
 		this.#metAt.delete(id);
 	}
 
-	#read(snapshot: InstanceSnapshot): void {
+	#handleSnapshot(snapshot: InstanceSnapshot): void {
 		this.#listed = snapshot.instances.filter(instance => instance.kind === 'entry');
 		if (this.#listed.some(instance => instance.id === this.self.instance)) {
 			this.#listedAt = snapshot.readAt;
@@ -184,13 +184,13 @@
 		const addresses = new Set(this.#listed.flatMap(({peerAddress}) => peerAddress ?? []));
 		addresses.delete(this.self.peerAddress);
 		this.network.meet(addresses);
-		this.#watch();
-		this.#giveUpDelisted(addresses);
+		this.#updateWatched();
+		this.#removeDelisted(addresses);
 	}
 
-	#giveUpDelisted(addresses: ReadonlySet<string>): void {
+	#removeDelisted(addresses: ReadonlySet<string>): void {
 		const now = this.clock.now();
-		for (const member of this.all) {
+		for (const member of this.peers) {
 			if (addresses.has(member.peerAddress)) {
 				this.#delistedAt.delete(member.id);
 				continue;
@@ -200,14 +200,14 @@
 			this.#delistedAt.set(member.id, delistedAt);
 			const heardAt = this.network.lastHeard(member.id) ?? this.#metAt.get(member.id) ?? 0;
 			if (now - Math.max(heardAt, delistedAt) > delistedMilliseconds) {
-				this.#lost(member.id, 'dead');
+				this.#removeMember(member.id, 'dead');
 			}
 		}
 	}
 
 	/** Watches neighbours of the own zone, a bounded number in any fleet; connections to other zones live by their use. */
-	#watch(): void {
-		const inZone = this.all.filter(member => member.zone === this.self.zone);
+	#updateWatched(): void {
+		const inZone = this.peers.filter(member => member.zone === this.self.zone);
 		const watched = rankByKey(this.self.instance, inZone, member => member.instance).slice(0, watchedInZone);
 		this.network.watch(new Set(watched.map(member => member.peerAddress)));
 	}
--- a/src/features/membership/loss.ts
+++ b/src/features/membership/member-loss.ts
@@ -2,7 +2,7 @@
 import type {Member} from '../../runtime/peers/member.js';
 
 /** `left` after it handed everything over; `dead` otherwise, with all that only it knew. */
-export type Loss = {
+export type MemberLoss = {
 	readonly member: Member;
 	readonly manner: 'left' | 'dead';
 };
--- a/src/features/placement/arbiter-link.ts
+++ b/src/features/placement/arbiter-link.ts
@@ -114,7 +114,7 @@
 	}
 
 	#search(): void {
-		for (const member of this.membership.inZone(this.zone)) {
+		for (const member of this.membership.membersInZone(this.zone)) {
 			if (member.id !== this.membership.self.id) {
 				this.post.askHolder(member, this.zone);
 			}
--- a/src/features/placement/candidacy.ts
+++ b/src/features/placement/candidacy.ts
@@ -67,7 +67,7 @@
 			}
 		}
 
-		if (membership.isUnresolved(membership.self.zone) || !this.#isFirst()) {
+		if (membership.hasUnresolvedInstances(membership.self.zone) || !this.#isFirst()) {
 			this.#askingSince = Number.isFinite(this.#askingSince) ? now : this.#askingSince;
 			return false;
 		}
@@ -77,7 +77,7 @@
 
 	#watchHolder(holder: MemberId): boolean {
 		const {membership, clock, journal, inquiry} = this.parts;
-		const heardAgo = membership.heardAgo(holder) ?? Number.POSITIVE_INFINITY;
+		const heardAgo = membership.millisecondsSinceHeard(holder) ?? Number.POSITIVE_INFINITY;
 		if (Math.min(heardAgo, clock.now() - this.#heardAt) <= holderSilenceMilliseconds) {
 			return false;
 		}
@@ -94,7 +94,7 @@
 	#isFirst(): boolean {
 		const {membership} = this.parts;
 		const {self} = membership;
-		const awake = zoneNeighboursOf(membership).filter(member => !membership.isSilent(member.id));
+		const awake = zoneNeighboursOf(membership).filter(member => !membership.isUnresponsive(member.id));
 		return rankByKey(self.zone, [self, ...awake], member => member.instance)[0]?.id === self.id;
 	}
 }
--- a/src/features/placement/network-slot-desk.ts
+++ b/src/features/placement/network-slot-desk.ts
@@ -6,7 +6,7 @@
 import type {TicketId} from '../../base/ticket-id.js';
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {TargetAddress} from '../../runtime/targets/target-address.js';
-import type {Loss} from '../membership/loss.js';
+import type {MemberLoss} from '../membership/member-loss.js';
 import type {Membership} from '../membership/membership.js';
 import {ArbiterLink} from './arbiter-link.js';
 import type {ArbiterPost} from './arbiter-post.js';
@@ -111,7 +111,7 @@
 		}
 	}
 
-	memberLost({member}: Loss): void {
+	memberLost({member}: MemberLoss): void {
 		for (const link of this.#links.values()) {
 			link.memberLost(member.id);
 		}
--- a/src/features/placement/silence-inquiry.ts
+++ b/src/features/placement/silence-inquiry.ts
@@ -58,7 +58,7 @@
 
 	/** Only an entry that was in touch with a member can tell whether it fell silent. */
 	testify(to: Member, about: MemberId): void {
-		const heardAgoMilliseconds = about === this.membership.self.id ? 0 : this.membership.heardAgo(about);
+		const heardAgoMilliseconds = about === this.membership.self.id ? 0 : this.membership.millisecondsSinceHeard(about);
 		if (heardAgoMilliseconds !== undefined) {
 			this.send(to, {kind: 'aliveReply', about, heardAgoMilliseconds});
 		}
@@ -68,7 +68,7 @@
 		this.#inquiry = {
 			about, startedAt: now, denials: 0, confirmations: 0,
 		};
-		for (const member of this.membership.all) {
+		for (const member of this.membership.peers) {
 			if (member.id !== about) {
 				this.send(member, {kind: 'alive', about});
 			}
--- a/src/features/placement/tenure-lease.ts
+++ b/src/features/placement/tenure-lease.ts
@@ -61,21 +61,21 @@
 
 	/** Whether the zone has, or may have, another entry that could take the office. */
 	#hasRivals(): boolean {
-		return zoneNeighboursOf(this.membership).length > 0 || this.membership.isUnresolved(this.membership.self.zone);
+		return zoneNeighboursOf(this.membership).length > 0 || this.membership.hasUnresolvedInstances(this.membership.self.zone);
 	}
 
 	/** When the holder last sent something that a peer answered. */
 	#reachedAt(): number {
-		const inZone = zoneNeighboursOf(this.membership).map(member => this.membership.reachedAt(member.id) ?? Number.NEGATIVE_INFINITY);
+		const inZone = zoneNeighboursOf(this.membership).map(member => this.membership.lastRoundTripAt(member.id) ?? Number.NEGATIVE_INFINITY);
 		return Math.max(this.#acknowledgedAt, ...inZone);
 	}
 
 	/** One entry of each other zone. */
 	#witnesses(): readonly Member[] {
 		const {self} = this.membership;
-		const zones = new Set(this.membership.all.map(member => member.zone));
+		const zones = new Set(this.membership.peers.map(member => member.zone));
 		zones.delete(self.zone);
-		return [...zones].flatMap(zone => rankByKey(self.instance, this.membership.inZone(zone), member => member.instance).slice(0, 1));
+		return [...zones].flatMap(zone => rankByKey(self.instance, this.membership.membersInZone(zone), member => member.instance).slice(0, 1));
 	}
 
 	#tell(epoch: number, members: readonly Member[]): void {
--- a/src/features/placement/tenure.ts
+++ b/src/features/placement/tenure.ts
@@ -6,7 +6,7 @@
 import {rankByKey} from '../../base/rank-by-key.js';
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {Member} from '../../runtime/peers/member.js';
-import type {Loss} from '../membership/loss.js';
+import type {MemberLoss} from '../membership/member-loss.js';
 import type {Membership} from '../membership/membership.js';
 import {Candidacy} from './candidacy.js';
 import type {Holder} from './holder.js';
@@ -128,7 +128,7 @@
 			.exhaustive();
 	}
 
-	memberLost({member}: Loss): void {
+	memberLost({member}: MemberLoss): void {
 		if (member.id !== this.#holder?.member) {
 			return;
 		}
@@ -140,7 +140,7 @@
 	/** Gives the office up for good, to the successor that's returned; none where the entry isn't the holder. */
 	resign(held: Extract<TenureMessage, {kind: 'handover'}>['held']): Member | undefined {
 		this.#hasResigned = true;
-		const awake = zoneNeighboursOf(this.membership).filter(member => !this.membership.isSilent(member.id));
+		const awake = zoneNeighboursOf(this.membership).filter(member => !this.membership.isUnresponsive(member.id));
 		const [successor] = rankByKey(this.membership.self.zone, awake, member => member.instance);
 		if (!this.isHolder || successor === undefined) {
 			return undefined;
--- a/src/features/placement/zone-neighbours-of.ts
+++ b/src/features/placement/zone-neighbours-of.ts
@@ -5,5 +5,5 @@
 /** Those that could hold the arbiter's office in this entry's place, silent or not. */
 export function zoneNeighboursOf(membership: Membership): readonly Member[] {
 	const {self} = membership;
-	return membership.inZone(self.zone).filter(member => member.id !== self.id);
+	return membership.membersInZone(self.zone).filter(member => member.id !== self.id);
 }
--- a/src/features/placement/zone-placement.ts
+++ b/src/features/placement/zone-placement.ts
@@ -185,7 +185,7 @@
 			return;
 		}
 
-		const member = this.parts.membership.memberOf(to);
+		const member = this.parts.membership.findMember(to);
 		if (member !== undefined) {
 			this.parts.network.send(member, {channel, body: {to: 'arbiter', stamp, request}});
 		}
@@ -199,7 +199,7 @@
 			return;
 		}
 
-		const member = this.parts.membership.memberOf(to);
+		const member = this.parts.membership.findMember(to);
 		if (member !== undefined) {
 			this.parts.network.send(member, {channel, body: {to: 'desk', reply}});
 		}
--- a/src/features/profiles/log-profile-book.ts
+++ b/src/features/profiles/log-profile-book.ts
@@ -182,7 +182,7 @@
 	}
 
 	#tell(message: Message, fanout: number): void {
-		for (const peer of this.parts.random.sample(this.parts.membership.all, fanout)) {
+		for (const peer of this.parts.random.sample(this.parts.membership.peers, fanout)) {
 			this.#send(peer, message);
 		}
 	}
--- a/src/features/submissions/submission-registry.ts
+++ b/src/features/submissions/submission-registry.ts
@@ -52,8 +52,8 @@
 			zones: settings.entry.zones,
 			clock,
 			journal,
-			membersOf: zone => membership.inZone(zone),
-			isSilent: member => member !== membership.self.id && membership.isSilent(member),
+			membersOf: zone => membership.membersInZone(zone),
+			isSilent: member => member !== membership.self.id && membership.isUnresponsive(member),
 			send,
 		});
 		this.registrar = new Registrar({
@@ -106,11 +106,11 @@
 		const {membership, births, clock, journal, settings} = this.parts;
 		const {zone} = membership.self;
 		const {token} = this.#cancellation;
-		while (membership.listedAt === undefined) {
+		while (membership.lastListedAt === undefined) {
 			await wait(this.parts.clock, listPollMilliseconds);
 		}
 
-		const isNew = await births.isNew(zone, member => membership.memberOf(member) !== undefined, token);
+		const isNew = await births.isNew(zone, member => membership.findMember(member) !== undefined, token);
 		const vouchFrom = isNew ? 0 : clock.wallTime();
 		this.registrar.enter(vouchFrom);
 		while (!this.registrar.isActive) {
@@ -133,7 +133,7 @@
 			return;
 		}
 
-		const member = membership.memberOf(to);
+		const member = membership.findMember(to);
 		if (member !== undefined) {
 			network.send(member, {channel, body: message});
 		}
@@ -163,16 +163,16 @@
 function surroundingsOf(membership: Membership): RegistrarSurroundings {
 	return {
 		get listedAt() {
-			return membership.listedAt;
+			return membership.lastListedAt;
 		},
 		get neighbours() {
-			return membership.inZone(membership.self.zone).filter(member => member.id !== membership.self.id);
+			return membership.membersInZone(membership.self.zone).filter(member => member.id !== membership.self.id);
 		},
 		get hasUnresolved() {
-			return membership.isUnresolved(membership.self.zone);
+			return membership.hasUnresolvedInstances(membership.self.zone);
 		},
-		isOutOfTouch: member => membership.isOutOfTouch(member),
-		isSilent: member => membership.isSilent(member),
-		memberOf: member => membership.memberOf(member),
+		isOutOfTouch: member => membership.isRoundTripOverdue(member),
+		isSilent: member => membership.isUnresponsive(member),
+		memberOf: member => membership.findMember(member),
 	};
 }
--- a/test/support/fake-membership.ts
+++ b/test/support/fake-membership.ts
@@ -3,7 +3,7 @@
 import {Emitter} from '../../src/base/emitter.js';
 import type {InstanceId} from '../../src/base/instance-id.js';
 import type {MemberId} from '../../src/base/member-id.js';
-import type {Loss} from '../../src/features/membership/loss.js';
+import type {MemberLoss} from '../../src/features/membership/member-loss.js';
 import {Membership} from '../../src/features/membership/membership.js';
 import type {Member} from '../../src/runtime/peers/member.js';
 import type {FakeClock} from './fake-clock.js';
@@ -16,9 +16,9 @@
 		};
 	}
 
-	override listedAt: number | undefined = 0;
+	override lastListedAt: number | undefined = 0;
 	override readonly onDidJoin = new Emitter<Member>().event;
-	override readonly onDidLose = new Emitter<Loss>().event;
+	override readonly onDidLose = new Emitter<MemberLoss>().event;
 	readonly #others: Member[] = [];
 	readonly #silentSince = new Map<MemberId, number>();
 
@@ -26,7 +26,7 @@
 		super();
 	}
 
-	override get all(): readonly Member[] {
+	override get peers(): readonly Member[] {
 		return this.#others;
 	}
 
@@ -43,35 +43,35 @@
 		this.#silentSince.set(member.id, this.clock.now());
 	}
 
-	override inZone(zone: AvailabilityZone): readonly Member[] {
+	override membersInZone(zone: AvailabilityZone): readonly Member[] {
 		return [this.self, ...this.#others].filter(member => member.zone === zone);
 	}
 
-	override memberOf(member: MemberId): Member | undefined {
+	override findMember(member: MemberId): Member | undefined {
 		return [this.self, ...this.#others].find(({id}) => id === member);
 	}
 
-	override isUnresolved(): boolean {
+	override hasUnresolvedInstances(): boolean {
 		return false;
 	}
 
-	override isSilent(member: MemberId): boolean {
-		return (this.heardAgo(member) ?? 0) > 2000;
+	override isUnresponsive(member: MemberId): boolean {
+		return (this.millisecondsSinceHeard(member) ?? 0) > 2000;
 	}
 
-	override heardAgo(member: MemberId): number | undefined {
+	override millisecondsSinceHeard(member: MemberId): number | undefined {
 		return this.clock.now() - (this.#silentSince.get(member) ?? this.clock.now());
 	}
 
-	override reachedAt(member: MemberId): number | undefined {
+	override lastRoundTripAt(member: MemberId): number | undefined {
 		return this.#silentSince.get(member) ?? this.clock.now();
 	}
 
-	override isOutOfTouch(member: MemberId): boolean {
-		return this.isSilent(member);
+	override isRoundTripOverdue(member: MemberId): boolean {
+		return this.isUnresponsive(member);
 	}
 
-	override announceLeft(): void {
+	override announceLeave(): void {
 		// Nobody listens.
 	}
 }
