--- a/src/entries/edge/edge-daemon.ts
+++ b/src/entries/edge/edge-daemon.ts
@@ -12,7 +12,7 @@
 import type {Clock} from '../../base/clock.js';
 import {DisposableStore} from '../../base/disposable-store.js';
 import {wait} from '../../base/wait.js';
-import {PoolCircle} from '../../features/listing/pool-circle.js';
+import {PoolReaderGroup} from '../../features/listing/pool-reader-group.js';
 import {RoutingTable} from '../../features/routing/routing-table.js';
 import {ZoneEvacuations} from '../../features/targets/zone-evacuations.js';
 import type {Journal} from '../../runtime/journal/journal.js';
@@ -60,7 +60,7 @@
 	readonly #routing: RoutingTable;
 	readonly #catalogue: StoreCatalogue;
 	readonly #entry: PooledEntry;
-	readonly #circle: PoolCircle;
+	readonly #circle: PoolReaderGroup;
 	readonly #front: JobFront;
 	readonly #directory: EntryDirectory;
 	readonly #storeRouting: StoreRouting;
@@ -101,7 +101,7 @@
 			journal,
 		}));
 		const self = {address: advertisedPeers, zone: settings.zone};
-		this.#circle = own.add(new PoolCircle({pool: this.#entry.pool, self, clock}));
+		this.#circle = own.add(new PoolReaderGroup({pool: this.#entry.pool, self, clock}));
 		this.#storePatience = own.add(new StorePatience(store, this.#entry.patience, clock));
 		const {pauses} = this.#entry;
 		this.#front = own.add(new JobFront({
@@ -113,8 +113,8 @@
 			clock,
 			journal,
 			onEntries: entries => {
-				this.#circle.meet(entries);
-				this.#entry.pool.meet(entries);
+				this.#circle.addPeers(entries);
+				this.#entry.pool.addPeers(entries);
 			},
 		}));
 		own.add(pauses.onDidPause(({milliseconds}) => {
@@ -137,7 +137,7 @@
 		await this.#readiness.listen(settings.readiness);
 		await this.#metricsServer.listen(`${settings.address}:${metricsPort}`);
 		this.#entry.start();
-		this.#entry.pool.meet(settings.seeds.map(address => ({address, zone: undefined})));
+		this.#entry.pool.addPeers(settings.seeds.map(address => ({address, zone: undefined})));
 		this.#directory.start();
 		this.#storeRouting.start();
 		this.#storePatience.start();
--- a/src/entries/edge/pooled-entry.ts
+++ b/src/entries/edge/pooled-entry.ts
@@ -15,7 +15,7 @@
 import type {PartitionGroup} from '../../features/ownership/partition-group.js';
 import {MeanRunTimes} from '../../features/placement/mean-run-times.js';
 import {TargetHealth} from '../../features/placement/target-health.js';
-import type {EntryState} from '../../features/pool/entry-state.js';
+import type {NodeState} from '../../features/pool/node-state.js';
 import {Pool} from '../../features/pool/pool.js';
 import {RemoteRuns} from '../../features/pool/remote-runs.js';
 import {zonesToCover} from '../../features/pool/zone-cover.js';
@@ -112,7 +112,7 @@
 	/** Gives all targets to the other entries, with what runs there. Its own jobs go on, on the others' targets. */
 	async leave(): Promise<void> {
 		this.#isLeaving = true;
-		this.pool.tellChange();
+		this.pool.broadcastState();
 		await this.ownership.leave();
 	}
 
@@ -129,23 +129,23 @@
 		own.add(this.pauses.onDidPause(pause => {
 			this.#verify(pause.milliseconds);
 		}));
-		own.add(this.pool.onDidHearOfLoss(() => {
+		own.add(this.pool.onDidDetectEviction(() => {
 			this.pauses.doubt();
 			this.executor.look();
 		}));
 		own.add(this.executor.onDidChangeRoom(() => {
-			this.pool.tellRoom();
+			this.pool.announceCapacity();
 		}));
 		own.add(this.ownership.onDidHandOver(handovers => {
 			this.dispatcher.noteHandovers(handovers, this.pool.self);
 			const requesters = new Set(handovers.flatMap(({runs}) => runs.map(({requester}) => requester)));
-			this.pool.broadcast({kind: 'handover', handovers, requesters: this.pool.introduce(requesters)});
+			this.pool.broadcast({kind: 'handover', handovers, requesters: this.pool.describePeers(requesters)});
 		}));
 		own.add(this.#losses.onDidNote(loss => {
 			this.pool.broadcast({kind: 'loss', loss});
 		}));
 		own.add(routing.onDidChange(() => {
-			this.pool.tellChange();
+			this.pool.broadcastState();
 		}));
 		own.add(this.pool.onDidReceive(({from, message}) => {
 			if (message.kind === 'handover') {
@@ -170,9 +170,9 @@
 		}
 	}
 
-	#state(): EntryState {
+	#state(): NodeState {
 		return {
-			isLeaving: this.#isLeaving, routingVersion: this.parts.routing.version, wanted: this.dispatcher.jobs.wanted, room: this.executor.room,
+			isLeaving: this.#isLeaving, routingVersion: this.parts.routing.version, demand: this.dispatcher.jobs.wanted, freeCapacity: this.executor.room,
 		};
 	}
 
--- a/src/features/dispatch/dispatcher.ts
+++ b/src/features/dispatch/dispatcher.ts
@@ -171,10 +171,10 @@
 				this.#results.adopt(request.task, request.attempt, pool.self);
 			}
 		}));
-		this.#store.add(pool.onDidLose(member => {
+		this.#store.add(pool.onDidLoseMember(member => {
 			this.#conclusion.endAllOn(member);
 		}));
-		this.#store.add(pool.onDidLoseTouch(cause => {
+		this.#store.add(pool.onDidStall(cause => {
 			journal.record('touchLost', {cause, jobs: this.#jobs.size});
 			this.#conclusion.endAll('notReady', `the entry was out of touch: ${cause}`);
 		}));
@@ -187,7 +187,7 @@
 		this.#store.add(pool.onDidReconnect(member => {
 			this.#owners.repeat(member);
 		}));
-		this.#store.add(pool.onDidChangeRoom(() => {
+		this.#store.add(pool.onDidChangeCapacity(() => {
 			this.#pumpSoon();
 		}));
 		this.#store.add(executor.onDidChangeRoom(() => {
@@ -207,7 +207,7 @@
 		const isWaiting = !this.#placer.placeAll(this.#jobs);
 		if (isWaiting && !this.#isWaiting) {
 			// The others tell of their room at once while they know that somebody waits.
-			this.parts.pool.tellWaiting();
+			this.parts.pool.announceDemand();
 		}
 
 		this.#isWaiting = isWaiting;
--- a/src/features/dispatch/job-admission.ts
+++ b/src/features/dispatch/job-admission.ts
@@ -102,7 +102,7 @@
 	 */
 	#seesRoom(): boolean {
 		const {executor, pool} = this.parts;
-		this.#hasSeenRoom ||= executor.room.length > 0 || [...pool.members].some(({room}) => room.length > 0);
+		this.#hasSeenRoom ||= executor.room.length > 0 || [...pool.members].some(({freeCapacity}) => freeCapacity.length > 0);
 		return this.#hasSeenRoom;
 	}
 
--- a/src/features/dispatch/open-share.ts
+++ b/src/features/dispatch/open-share.ts
@@ -4,5 +4,5 @@
 /** `share` is the target's room as the entry told it last, less what was sent there since. */
 export type OpenShare = {
 	readonly member: PoolMember;
-	readonly share: PoolMember['room'][number];
+	readonly share: PoolMember['freeCapacity'][number];
 };
--- a/src/features/dispatch/open-shares.ts
+++ b/src/features/dispatch/open-shares.ts
@@ -15,7 +15,7 @@
 			continue;
 		}
 
-		for (const share of member.room) {
+		for (const share of member.freeCapacity) {
 			if (share.room.cpuMillis >= leastCpuMillis) {
 				open.push({member, share});
 			}
--- a/src/features/listing/change-log.ts
+++ b/src/features/listing/change-log.ts
@@ -10,13 +10,13 @@
 	#changes: ListRecord[] = [];
 
 	/** The list is known as a whole up to an offset; what was before isn't told any more. */
-	begin(start: number): void {
+	restart(start: number): void {
 		this.#start = start;
 		this.#changes = [];
 	}
 
 	/** The list isn't known any more. */
-	end(): void {
+	clear(): void {
 		this.#start = undefined;
 		this.#changes = [];
 	}
--- a/src/features/listing/pause.ts
+++ b/src/features/listing/interruptible-wait.ts
@@ -3,8 +3,8 @@
 import type {Disposable} from '../../base/disposable.js';
 
 /** One wait at a time. */
-export class Pause implements Disposable {
-	#cut: (() => void) | undefined;
+export class InterruptibleWait implements Disposable {
+	#interrupt: (() => void) | undefined;
 
 	constructor(private readonly clock: Clock) {}
 
@@ -12,19 +12,19 @@
 	async wait(milliseconds: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			const timer = this.clock.schedule(milliseconds, resolve);
-			this.#cut = () => {
+			this.#interrupt = () => {
 				timer.dispose();
 				resolve();
 			};
 		});
-		this.#cut = undefined;
+		this.#interrupt = undefined;
 	}
 
-	cut(): void {
-		this.#cut?.();
+	interrupt(): void {
+		this.#interrupt?.();
 	}
 
 	dispose(): void {
-		this.cut();
+		this.interrupt();
 	}
 }
--- a/src/features/listing/list-question.ts
+++ b/src/features/listing/list-request.ts
@@ -1,8 +1,8 @@
 /** What an entry asks the one that reads the list of targets for it. */
 
-export type ListQuestion = {
+export type ListRequest = {
 	/** Numbered by the asker. */
-	readonly question: number;
+	readonly requestId: number;
 	/** Up to where it knows the list; nothing where it doesn't. */
 	readonly from: number | undefined;
 };
--- a/src/features/listing/list-keeper.ts
+++ b/src/features/listing/target-table.ts
@@ -1,18 +1,18 @@
 /** Who keeps the list of targets that was read. */
 
-type KeptValue = {readonly key: string; readonly value: Uint8Array | undefined};
+type TableValue = {readonly key: string; readonly value: Uint8Array | undefined};
 
 /** Takes records in the store's order, whichever entry has read them. */
-export abstract class ListKeeper {
+export abstract class TargetTable {
 	/** What would make another keeper know the list as this one does, when taken in order. */
-	abstract readonly whole: readonly KeptValue[];
+	abstract readonly snapshot: readonly TableValue[];
 
 	/** The whole list: keys that aren't in it are gone. Of a key that's there several times the last one counts. */
-	abstract takeWhole(values: readonly KeptValue[]): void;
+	abstract replaceAll(values: readonly TableValue[]): void;
 
 	/** Whether the record changed anything but a number that's counted up. */
-	abstract take(value: KeptValue): boolean;
+	abstract apply(value: TableValue): boolean;
 
 	/** All that was read has been taken. */
-	abstract settle(): void;
+	abstract commit(): void;
 }
--- a/src/features/pool/unstated.ts
+++ b/src/features/pool/absent-number.ts
@@ -1,2 +1,2 @@
 /** In the place of a number that isn't there: all that are told are zero or more. */
-export const unstated = -1;
+export const absentNumber = -1;
--- a/src/features/pool/decode-frame.ts
+++ b/src/features/pool/decode-frame.ts
@@ -7,7 +7,7 @@
 /** A frame; throws a `TypeError` that says what can't be read. */
 export function decodeFrame(body: unknown): PoolFrame {
 	const values = new EncodedValues(Array.isArray(body) ? body : []);
-	return {epoch: decodeEpoch(values), heardEpoch: decodeEpoch(values), messages: decodeMessages(values.list())};
+	return {epoch: decodeEpoch(values), acknowledgedEpoch: decodeEpoch(values), messages: decodeMessages(values.list())};
 }
 
 function decodeEpoch(values: EncodedValues): Epoch {
--- a/src/features/pool/decode-messages.ts
+++ b/src/features/pool/decode-messages.ts
@@ -12,10 +12,10 @@
 import type {TaskPlace} from '../execution/task-place.js';
 import type {TargetLoss} from '../execution/target-loss.js';
 import type {RunRequest} from '../execution/run-request.js';
-import type {EntryState} from './entry-state.js';
+import type {NodeState} from './node-state.js';
 import {EncodedValues} from './encoded-values.js';
 import {messageCode} from './message-code.js';
-import {unstated} from './unstated.js';
+import {absentNumber} from './absent-number.js';
 import type {PoolMessage} from './pool-message.js';
 
 const lossNews = ['silent', 'down', 'unsure', 'back'] as const;
@@ -54,7 +54,7 @@
 	const code = values.number();
 	switch (code) {
 		case messageCode.state: {
-			return {kind: 'state', state: decodeState(values), isForWatcher: values.flag()};
+			return {kind: 'state', state: decodeState(values), isForMonitor: values.flag()};
 		}
 
 		case messageCode.lost: {
@@ -113,13 +113,13 @@
 		}
 
 		case messageCode.askList: {
-			return {kind: 'askList', question: {question: values.number(), from: statedOf(values.number())}};
+			return {kind: 'askList', request: {requestId: values.number(), from: optionalNumber(values.number())}};
 		}
 
 		case messageCode.list: {
 			return {
-				kind: 'list', passage: {
-					question: values.number(), from: statedOf(values.number()), next: values.number(), records: values.bytes(),
+				kind: 'list', update: {
+					requestId: values.number(), from: optionalNumber(values.number()), next: values.number(), records: values.bytes(),
 				},
 			};
 		}
@@ -138,16 +138,16 @@
 	}
 }
 
-function statedOf(value: number): number | undefined {
-	return value === unstated ? undefined : value;
+function optionalNumber(value: number): number | undefined {
+	return value === absentNumber ? undefined : value;
 }
 
-function decodeState(values: EncodedValues): EntryState {
+function decodeState(values: EncodedValues): NodeState {
 	return {
 		isLeaving: values.flag(),
 		routingVersion: values.number(),
-		wanted: values.lists(wanted => ({service: wanted.text<ServiceName>(), need: decodeAmounts(wanted)})),
-		room: values.lists(share => ({service: share.text<ServiceName>(), room: decodeAmounts(share), labels: share.rest()})),
+		demand: values.lists(item => ({service: item.text<ServiceName>(), need: decodeAmounts(item)})),
+		freeCapacity: values.lists(share => ({service: share.text<ServiceName>(), room: decodeAmounts(share), labels: share.rest()})),
 	};
 }
 
@@ -170,7 +170,7 @@
 function decodePlace(values: EncodedValues): TaskPlace {
 	const [label, nearLabel, farFactor, most] = [values.optionalText(), values.optionalText(), values.number(), values.number()];
 	return {
-		label, nearLabel, farFactor, mostOnTarget: most === unstated ? undefined : most,
+		label, nearLabel, farFactor, mostOnTarget: most === absentNumber ? undefined : most,
 	};
 }
 
@@ -225,7 +225,7 @@
 	}
 
 	return {
-		target, incarnation: incarnation === unstated ? undefined : incarnation as Incarnation, news, tasks: values.rest().map(task => task as TaskId),
+		target, incarnation: incarnation === absentNumber ? undefined : incarnation as Incarnation, news, tasks: values.rest().map(task => task as TaskId),
 	};
 }
 
--- a/src/features/pool/encode-frame.ts
+++ b/src/features/pool/encode-frame.ts
@@ -3,6 +3,6 @@
 import type {PoolFrame} from './pool-frame.js';
 
 /** Four numbers, then the messages. */
-export function encodeFrame({epoch, heardEpoch, messages}: PoolFrame): readonly unknown[] {
-	return [epoch.losses, epoch.pauses, heardEpoch.losses, heardEpoch.pauses, encodeMessages(messages)];
+export function encodeFrame({epoch, acknowledgedEpoch, messages}: PoolFrame): readonly unknown[] {
+	return [epoch.losses, epoch.pauses, acknowledgedEpoch.losses, acknowledgedEpoch.pauses, encodeMessages(messages)];
 }
--- a/src/features/pool/encode-messages.ts
+++ b/src/features/pool/encode-messages.ts
@@ -3,9 +3,9 @@
 import type {Resources} from '../../base/resources.js';
 import type {RunOutcome} from '../execution/run-outcome.js';
 import type {RunRequest} from '../execution/run-request.js';
-import type {EntryState} from './entry-state.js';
+import type {NodeState} from './node-state.js';
 import {messageCode} from './message-code.js';
-import {unstated} from './unstated.js';
+import {absentNumber} from './absent-number.js';
 import type {PoolMessage} from './pool-message.js';
 
 /** Numbers, texts and lists only. */
@@ -31,7 +31,7 @@
 
 function encode(message: Exclude<PoolMessage, {readonly kind: 'run'}>): Encoded {
 	return match(message)
-		.with({kind: 'state'}, ({state, isForWatcher}) => [messageCode.state, ...encodeState(state), isForWatcher])
+		.with({kind: 'state'}, ({state, isForMonitor}) => [messageCode.state, ...encodeState(state), isForMonitor])
 		.with({kind: 'lost'}, ({member}) => [messageCode.lost, member])
 		.with({kind: 'entries'}, ({entries}) => [messageCode.entries, entries.map(({address, zone}) => [address, zone])])
 		.with({kind: 'report'}, ({task, attempt, outcome}) => [messageCode.report, task, attempt, ...encodeOutcome(outcome)])
@@ -41,20 +41,20 @@
 		]), requesters.map(({member: {id, instance, zone, peerAddress}, silentMilliseconds}) => [id, instance, zone, peerAddress, silentMilliseconds])])
 		.with({kind: 'adopted'}, ({task, attempt}) => [messageCode.adopted, task, attempt])
 		.with({kind: 'adoptionHeard'}, ({task, attempt}) => [messageCode.adoptionHeard, task, attempt])
-		.with({kind: 'loss'}, ({loss: {target, incarnation, news, tasks}}) => [messageCode.loss, target, incarnation ?? unstated, news, ...tasks])
-		.with({kind: 'askList'}, ({question: {question, from}}) => [messageCode.askList, question, from ?? unstated])
-		.with({kind: 'list'}, ({passage: {question, from, next, records}}) => [messageCode.list, question, from ?? unstated, next, records])
+		.with({kind: 'loss'}, ({loss: {target, incarnation, news, tasks}}) => [messageCode.loss, target, incarnation ?? absentNumber, news, ...tasks])
+		.with({kind: 'askList'}, ({request: {requestId, from}}) => [messageCode.askList, requestId, from ?? absentNumber])
+		.with({kind: 'list'}, ({update: {requestId, from, next, records}}) => [messageCode.list, requestId, from ?? absentNumber, next, records])
 		.with({kind: 'wantRouting'}, () => [messageCode.wantRouting])
 		.with({kind: 'routing'}, ({configuration}) => [messageCode.routing, configuration])
 		.exhaustive();
 }
 
-function encodeState({isLeaving, routingVersion, wanted, room}: EntryState): Encoded {
+function encodeState({isLeaving, routingVersion, demand, freeCapacity}: NodeState): Encoded {
 	return [
 		isLeaving,
 		routingVersion,
-		wanted.map(({service, need}) => [service, ...amountsOf(need)]),
-		room.map(share => [share.service, ...amountsOf(share.room), ...share.labels]),
+		demand.map(({service, need}) => [service, ...amountsOf(need)]),
+		freeCapacity.map(share => [share.service, ...amountsOf(share.room), ...share.labels]),
 	];
 }
 
@@ -69,7 +69,7 @@
 		request.place.label,
 		request.place.nearLabel,
 		request.place.farFactor,
-		request.place.mostOnTarget ?? unstated,
+		request.place.mostOnTarget ?? absentNumber,
 		request.isNearOnly,
 		request.avoid,
 		request.jobTasks,
--- a/src/features/pool/epochs.ts
+++ b/src/features/pool/epochs.ts
@@ -5,7 +5,7 @@
 const first: Epoch = {losses: 0, pauses: 0};
 
 /** What a frame states: its sender's epoch for the receiver, and the receiver's for the sender as it was last heard. */
-type StatedEpochs = {readonly epoch: Epoch; readonly heardEpoch: Epoch};
+type FrameEpochs = {readonly epoch: Epoch; readonly acknowledgedEpoch: Epoch};
 
 /**
  * Orders what entries ask of each other by their losses and pauses, which holds for however long an entry stood still and
@@ -19,23 +19,23 @@
 	#pauses = 0;
 
 	/** This entry's epoch for another one. */
-	own(member: MemberId): Epoch {
+	local(member: MemberId): Epoch {
 		return {losses: this.#losses.get(member) ?? 0, pauses: this.#pauses};
 	}
 
 	/** Another entry's epoch for this one, as it was last heard. */
-	heard(member: MemberId): Epoch {
+	remote(member: MemberId): Epoch {
 		return this.#heard.get(member) ?? first;
 	}
 
 	/** This entry has taken another one as lost. */
-	noteLoss(member: MemberId): void {
-		this.#losses.set(member, this.own(member).losses + 1);
+	recordLoss(member: MemberId): void {
+		this.#losses.set(member, this.local(member).losses + 1);
 		this.#noticed.add(member);
 	}
 
 	/** This entry was out of touch with the others. */
-	notePause(): void {
+	recordPause(): void {
 		this.#pauses += 1;
 		for (const member of this.#heard.keys()) {
 			this.#noticed.add(member);
@@ -43,16 +43,16 @@
 	}
 
 	/** Whether what a member asks for was sent in this entry's present epoch. */
-	isCurrent(member: MemberId, {heardEpoch}: StatedEpochs): boolean {
-		const own = this.own(member);
-		return heardEpoch.losses === own.losses && heardEpoch.pauses === own.pauses;
+	isCurrent(member: MemberId, {acknowledgedEpoch}: FrameEpochs): boolean {
+		const own = this.local(member);
+		return acknowledgedEpoch.losses === own.losses && acknowledgedEpoch.pauses === own.pauses;
 	}
 
 	/**
 	 * Takes what a member states; true where it has taken this entry as lost, and this entry hasn't noticed. What a member states
 	 * before it has heard of this entry's present epoch was under way while that changed.
 	 */
-	hear(member: MemberId, stated: StatedEpochs): boolean {
+	observe(member: MemberId, stated: FrameEpochs): boolean {
 		const {epoch} = stated;
 		const known = this.#heard.get(member);
 		if (known === undefined || epoch.losses > known.losses || epoch.pauses > known.pauses) {
--- a/src/features/pool/neighbours.ts
+++ b/src/features/pool/neighbours.ts
@@ -2,8 +2,8 @@
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
 import {rankByKey} from '../../base/rank-by-key.js';
-import type {KnownEntry} from './known-entry.js';
-import {smallFleet} from './small-fleet.js';
+import type {PeerEndpoint} from './peer-endpoint.js';
+import {fullMeshLimit} from './full-mesh-limit.js';
 
 /**
  * So many of each other zone are chosen; about as many more choose this entry. Their room is enough for what the own zone
@@ -38,12 +38,12 @@
 	constructor(private readonly parts: NeighboursParts) {}
 
 	/** All entries that are known, but for those whose zone isn't. */
-	get known(): readonly KnownEntry[] {
+	get known(): readonly PeerEndpoint[] {
 		return [...this.#zones].filter(([, zone]) => zone !== undefined).map(([address, zone]) => ({address, zone}));
 	}
 
 	/** Takes an entry, or its zone. */
-	add({address, zone}: KnownEntry): void {
+	add({address, zone}: PeerEndpoint): void {
 		const isNew = !this.#zones.has(address);
 		if (address === this.parts.self.address || (!isNew && (zone === undefined || this.#zones.get(address) === zone))) {
 			return;
@@ -55,7 +55,7 @@
 
 	/** The addresses to connect to; `met` are those of entries that are heard. */
 	choose(met: ReadonlySet<string>): ReadonlySet<string> {
-		if (this.#zones.size <= smallFleet) {
+		if (this.#zones.size <= fullMeshLimit) {
 			return new Set(this.#zones.keys());
 		}
 
--- a/src/features/pool/outbox.ts
+++ b/src/features/pool/outbox.ts
@@ -8,7 +8,7 @@
 import type {Epochs} from './epochs.js';
 import type {PoolMessage} from './pool-message.js';
 
-type Batch = {readonly member: Member; readonly heardEpoch: Epoch; messages: PoolMessage[]};
+type Batch = {readonly member: Member; readonly acknowledgedEpoch: Epoch; messages: PoolMessage[]};
 
 /** What an outbox works with. */
 type OutboxParts = {
@@ -45,9 +45,9 @@
 
 	/** A request keeps the epoch in which it was put here: what has waited from before a change leaves first, in a frame of its own. */
 	#batchFor(member: Member): Batch {
-		const heardEpoch = this.parts.epochs.heard(member.id);
+		const acknowledgedEpoch = this.parts.epochs.remote(member.id);
 		const known = this.#batches.get(member.id);
-		if (known?.heardEpoch === heardEpoch) {
+		if (known?.acknowledgedEpoch === acknowledgedEpoch) {
 			return known;
 		}
 
@@ -55,7 +55,7 @@
 			this.#send(known);
 		}
 
-		const batch = {member, heardEpoch, messages: []};
+		const batch = {member, acknowledgedEpoch, messages: []};
 		this.#batches.set(member.id, batch);
 		return batch;
 	}
@@ -68,8 +68,8 @@
 		}
 	}
 
-	#send({member, heardEpoch, messages}: Batch): void {
+	#send({member, acknowledgedEpoch, messages}: Batch): void {
 		const {network, channel, epochs} = this.parts;
-		network.send(member, {channel, body: encodeFrame({epoch: epochs.own(member.id), heardEpoch, messages})});
+		network.send(member, {channel, body: encodeFrame({epoch: epochs.local(member.id), acknowledgedEpoch, messages})});
 	}
 }
--- a/src/features/pool/introduction.ts
+++ b/src/features/pool/peer-descriptor.ts
@@ -2,4 +2,4 @@
 import type {Member} from '../../runtime/peers/member.js';
 
 /** `silentMilliseconds` is for how long it hadn't been heard by whoever introduces it. */
-export type Introduction = {readonly member: Member; readonly silentMilliseconds: number};
+export type PeerDescriptor = {readonly member: Member; readonly silentMilliseconds: number};
--- a/src/features/pool/introductions.ts
+++ b/src/features/pool/peer-descriptors.ts
@@ -1,15 +1,15 @@
 /** Entries of which others told. */
 import type {MemberId} from '../../base/member-id.js';
-import type {Introduction} from './introduction.js';
+import type {PeerDescriptor} from './peer-descriptor.js';
 
 /** Above the entries that any fleet has; those of earlier lives go first. */
 const limit = 1000;
 
 /** Keeps where entries listen that this one may have to reach, though it never met them. */
-export class Introductions {
-	readonly #introductions = new Map<MemberId, Introduction>();
+export class PeerDescriptors {
+	readonly #introductions = new Map<MemberId, PeerDescriptor>();
 
-	add(introduction: Introduction): void {
+	add(introduction: PeerDescriptor): void {
 		this.#introductions.set(introduction.member.id, introduction);
 		const [oldest] = this.#introductions.keys();
 		if (this.#introductions.size > limit) {
@@ -17,7 +17,7 @@
 		}
 	}
 
-	named(id: MemberId): Introduction | undefined {
+	get(id: MemberId): PeerDescriptor | undefined {
 		return this.#introductions.get(id);
 	}
 }
--- a/src/features/pool/pool-links.ts
+++ b/src/features/pool/pool-connections.ts
@@ -4,17 +4,17 @@
 import {rankByKey} from '../../base/rank-by-key.js';
 import type {PeerNetwork} from '../../runtime/peers/peer-network.js';
 import {heartbeats} from './heartbeats.js';
-import type {KnownEntry} from './known-entry.js';
+import type {PeerEndpoint} from './peer-endpoint.js';
 import {Neighbours} from './neighbours.js';
 import type {PoolMember} from './pool-member.js';
-import {smallFleet} from './small-fleet.js';
+import {fullMeshLimit} from './full-mesh-limit.js';
 
 /** How often it's looked which neighbours don't answer, where nothing else has changed: half of the time that a dial may take. */
 const watchMilliseconds = 500;
 /** So many of its zone watch over an entry: one of them may be gone with it, and one may be slow. */
-const watchersOfEach = 3;
+const monitorsPerNode = 3;
 /** What the links depend on. */
-type PoolLinksParts = {
+type PoolConnectionsParts = {
 	readonly network: PeerNetwork;
 	readonly members: () => Iterable<PoolMember>;
 	/** Entries that run something for this one, or that this one runs something for. */
@@ -25,24 +25,24 @@
 };
 
 /** Sets the rhythms of all members, and has the network keep the connections that are worth it. */
-export class PoolLinks {
+export class PoolConnections {
 	readonly #neighbours: Neighbours;
 	#watched: ReadonlySet<string> = new Set();
 	#watchedAt = Number.NEGATIVE_INFINITY;
 
-	constructor(private readonly parts: PoolLinksParts) {
+	constructor(private readonly parts: PoolConnectionsParts) {
 		const {network, clock} = parts;
 		const {peerAddress, zone} = network.self;
 		this.#neighbours = new Neighbours({self: {address: peerAddress, zone}, clock});
 	}
 
 	/** All entries that are known, met or not. */
-	get known(): readonly KnownEntry[] {
+	get known(): readonly PeerEndpoint[] {
 		return this.#neighbours.known;
 	}
 
 	/** Takes entries, and connects to those that become neighbours. */
-	add(entries: Iterable<KnownEntry>): void {
+	add(entries: Iterable<PeerEndpoint>): void {
 		for (const entry of entries) {
 			this.#neighbours.add(entry);
 		}
@@ -54,15 +54,15 @@
 	update(): void {
 		const {members, peersInUse, clock} = this.parts;
 		const fleet = [...members()];
-		const inUse = fleet.length <= smallFleet ? undefined : peersInUse();
+		const inUse = fleet.length <= fullMeshLimit ? undefined : peersInUse();
 		let isDue = clock.now() - this.#watchedAt >= watchMilliseconds;
 		for (const known of fleet) {
 			const isClose = inUse?.has(known.member.id) ?? true;
-			known.told = rhythmOf(isClose, known.isWatcher);
-			const rhythm = rhythmOf(isClose, known.isWatched);
-			if (rhythm !== known.rhythm) {
-				known.rhythm = rhythm;
-				known.rhythmSince = clock.now();
+			known.sendTiming = timingOf(isClose, known.isMonitor);
+			const timing = timingOf(isClose, known.isMonitored);
+			if (timing !== known.expectedTiming) {
+				known.expectedTiming = timing;
+				known.timingChangedAt = clock.now();
 				isDue = true;
 			}
 		}
@@ -83,12 +83,12 @@
 	 */
 	#watch(): void {
 		this.#watchedAt = this.parts.clock.now();
-		this.#chooseWatchers();
+		this.#chooseMonitors();
 		const met = new Set<string>();
 		const unused = new Set<string>();
-		for (const {member, rhythm} of this.parts.members()) {
+		for (const {member, expectedTiming} of this.parts.members()) {
 			met.add(member.peerAddress);
-			if (rhythm !== heartbeats.close) {
+			if (expectedTiming !== heartbeats.active) {
 				unused.add(member.peerAddress);
 			}
 		}
@@ -101,26 +101,26 @@
 	}
 
 	/** The few of this zone that have to notice when this entry is gone. One that becomes a watcher, or ceases to be one, is told. */
-	#chooseWatchers(): void {
+	#chooseMonitors(): void {
 		const {self} = this.parts.network;
 		const mates = [...this.parts.members()].filter(({member}) => member.zone === self.zone);
-		const watchers = new Set(rankByKey(self.peerAddress, mates, ({member}) => member.peerAddress).slice(0, watchersOfEach));
+		const monitors = new Set(rankByKey(self.peerAddress, mates, ({member}) => member.peerAddress).slice(0, monitorsPerNode));
 		for (const known of mates) {
-			const isWatcher = watchers.has(known);
-			if (isWatcher !== known.isWatcher) {
-				known.isWatcher = isWatcher;
+			const isMonitor = monitors.has(known);
+			if (isMonitor !== known.isMonitor) {
+				known.isMonitor = isMonitor;
 				this.parts.tell(known);
 			}
 		}
 	}
 }
 
-function rhythmOf(isClose: boolean, isWatching: boolean) {
+function timingOf(isClose: boolean, isMonitor: boolean) {
 	if (isClose) {
-		return heartbeats.close;
+		return heartbeats.active;
 	}
 
-	return isWatching ? heartbeats.near : heartbeats.distant;
+	return isMonitor ? heartbeats.monitored : heartbeats.idle;
 }
 
 function areEqual(left: ReadonlySet<string>, right: ReadonlySet<string>): boolean {
--- a/src/features/pool/pool-frame.ts
+++ b/src/features/pool/pool-frame.ts
@@ -6,6 +6,6 @@
 	/** The sender's epoch for the receiver. */
 	readonly epoch: Epoch;
 	/** The receiver's epoch for the sender, as the sender had heard it when it asked for what the frame carries. */
-	readonly heardEpoch: Epoch;
+	readonly acknowledgedEpoch: Epoch;
 	readonly messages: readonly PoolMessage[];
 };
--- a/src/features/pool/pool-member.ts
+++ b/src/features/pool/pool-member.ts
@@ -2,30 +2,30 @@
 import type {Member} from '../../runtime/peers/member.js';
 import type {RoomShare} from '../execution/room-share.js';
 import type {WantedRoom} from '../execution/wanted-room.js';
-import type {HeartbeatRhythm} from './heartbeat-rhythm.js';
+import type {HeartbeatTiming} from './heartbeat-timing.js';
 
 /** A target's room, as it's known here. */
-type KnownShare = Omit<RoomShare, 'room'> & {room: RoomShare['room']};
+type TargetCapacity = Omit<RoomShare, 'room'> & {room: RoomShare['room']};
 
 /** `room` is what the member told last, less what was sent there since. */
 export type PoolMember = {
 	readonly member: Member;
 	heardAt: number;
 	/** How often this entry tells it of itself. */
-	told: HeartbeatRhythm;
+	sendTiming: HeartbeatTiming;
 	/** How often this entry expects to hear of it. */
-	rhythm: HeartbeatRhythm;
+	expectedTiming: HeartbeatTiming;
 	/** When that changed last. */
-	rhythmSince: number;
+	timingChangedAt: number;
 	/** Whether it's one of the few that have to notice this entry's loss soon. */
-	isWatcher: boolean;
+	isMonitor: boolean;
 	/** Whether this entry is one of the few that have to notice its loss soon. */
-	isWatched: boolean;
+	isMonitored: boolean;
 	isLeaving: boolean;
 	routingVersion: number;
 	/** How often it was told of room here since it said last what it waits for. */
-	offers: number;
+	capacityUpdates: number;
 	/** What its waiting tasks need at least, on any entry's targets. */
-	wanted: readonly WantedRoom[];
-	room: KnownShare[];
+	demand: readonly WantedRoom[];
+	freeCapacity: TargetCapacity[];
 };
--- a/src/features/pool/pool-parts.ts
+++ b/src/features/pool/pool-parts.ts
@@ -4,11 +4,11 @@
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {PauseWatch} from '../../runtime/pause-watch.js';
 import type {PeerNetwork} from '../../runtime/peers/peer-network.js';
-import type {EntryState} from './entry-state.js';
+import type {NodeState} from './node-state.js';
 
 export type PoolParts = {
 	readonly network: PeerNetwork;
-	readonly ownState: () => EntryState;
+	readonly ownState: () => NodeState;
 	/** Entries that run something for this one, or that this one runs something for. */
 	readonly peersInUse: () => ReadonlySet<MemberId>;
 	readonly pauses: PauseWatch;
--- a/src/features/pool/pool.ts
+++ b/src/features/pool/pool.ts
@@ -7,44 +7,44 @@
 import type {Pause} from '../../runtime/pause.js';
 import type {Member} from '../../runtime/peers/member.js';
 import {decodeFrame} from './decode-frame.js';
-import type {EntryState} from './entry-state.js';
+import type {NodeState} from './node-state.js';
 import {Epochs} from './epochs.js';
 import {heartbeats} from './heartbeats.js';
-import type {KnownEntry} from './known-entry.js';
-import type {Introduction} from './introduction.js';
-import {Introductions} from './introductions.js';
+import type {PeerEndpoint} from './peer-endpoint.js';
+import type {PeerDescriptor} from './peer-descriptor.js';
+import {PeerDescriptors} from './peer-descriptors.js';
 import {Outbox} from './outbox.js';
-import {PoolLinks} from './pool-links.js';
+import {PoolConnections} from './pool-connections.js';
 import type {PoolFrame} from './pool-frame.js';
 import type {PoolMember} from './pool-member.js';
 import type {PoolMessage} from './pool-message.js';
 import type {PoolParts} from './pool-parts.js';
-import {StateTeller} from './state-teller.js';
+import {StateBroadcaster} from './state-broadcaster.js';
 
 /** `isCurrent` is unset for what was sent in a former epoch: its sender was lost here since, or this entry stood still. */
 type ReceivedPoolMessage = {readonly from: Member; readonly message: PoolMessage; readonly isCurrent: boolean};
 
 const channel = 'pool';
 /** How often it's looked which heartbeats are due, and who was silent for too long. */
-const lookMilliseconds = 100;
+const checkMilliseconds = 100;
 
 /** Sends this entry's state to all others, and keeps theirs. */
 export class Pool implements Disposable {
 	readonly #members = new Map<MemberId, PoolMember>();
 	/** Every life that was met: one that can't be heard may still hear, and has to be told to stop. */
-	readonly #met = new Map<MemberId, Member>();
-	readonly #introductions = new Introductions();
+	readonly #everMet = new Map<MemberId, Member>();
+	readonly #descriptors = new PeerDescriptors();
 	readonly #store = new DisposableStore();
 	readonly #epochs = new Epochs();
 	readonly #message = new Emitter<ReceivedPoolMessage>();
-	readonly #lose = new Emitter<MemberId>();
-	readonly #loseTouch = new Emitter<string>();
-	readonly #hearOfLoss = new Emitter<void>();
+	readonly #loseMember = new Emitter<MemberId>();
+	readonly #stall = new Emitter<string>();
+	readonly #detectEviction = new Emitter<void>();
 	readonly #reconnect = new Emitter<MemberId>();
-	readonly #room = new Emitter<void>();
+	readonly #changeCapacity = new Emitter<void>();
 	readonly #outbox: Outbox;
-	readonly #teller: StateTeller;
-	readonly #links: PoolLinks;
+	readonly #broadcaster: StateBroadcaster;
+	readonly #connections: PoolConnections;
 
 	constructor(private readonly parts: PoolParts) {
 		const {network, ownState, peersInUse, clock} = parts;
@@ -52,23 +52,23 @@
 		this.#outbox = new Outbox({
 			network, channel, epochs: this.#epochs, clock,
 		});
-		this.#teller = this.#store.add(new StateTeller({
+		this.#broadcaster = this.#store.add(new StateBroadcaster({
 			members, ownState, outbox: this.#outbox, clock,
 		}));
-		this.#links = new PoolLinks({
+		this.#connections = new PoolConnections({
 			network,
 			members,
 			peersInUse,
 			tell: member => {
-				this.#teller.tellOne(member);
+				this.#broadcaster.sendTo(member);
 			},
 			clock,
 		});
 		this.#store.add(parts.pauses.onDidPause(pause => {
-			this.#notePause(pause);
+			this.#handlePause(pause);
 		}));
 		this.#store.add(parts.pauses.onDidStandStill(milliseconds => {
-			this.#noteStandstill(milliseconds);
+			this.#handleStall(milliseconds);
 		}));
 		this.#store.add(network.onDidReceive(({from, message}) => {
 			if (message.channel === channel) {
@@ -76,7 +76,7 @@
 			}
 		}));
 		this.#store.add(network.onDidMeet(member => {
-			this.#meet(member);
+			this.#addMember(member);
 		}));
 		this.#store.add(network.onDidReconnect(member => {
 			this.#reconnect.fire(member.id);
@@ -92,18 +92,18 @@
 	}
 
 	/** Fires once an entry is gone or was silent for too long, or has to be taken as such since this one was out of touch itself. */
-	get onDidLose() {
-		return this.#lose.event;
+	get onDidLoseMember() {
+		return this.#loseMember.event;
 	}
 
 	/** Fires with the cause when this entry stood still for so long that what it held may go on elsewhere. */
-	get onDidLoseTouch() {
-		return this.#loseTouch.event;
+	get onDidStall() {
+		return this.#stall.event;
 	}
 
 	/** Fires when another entry has taken this one as lost, and this one hasn't noticed. */
-	get onDidHearOfLoss() {
-		return this.#hearOfLoss.event;
+	get onDidDetectEviction() {
+		return this.#detectEviction.event;
 	}
 
 	/** Fires when a connection was made anew: messages on the former one may be lost. */
@@ -112,8 +112,8 @@
 	}
 
 	/** Fires after an entry told of its room. */
-	get onDidChangeRoom() {
-		return this.#room.event;
+	get onDidChangeCapacity() {
+		return this.#changeCapacity.event;
 	}
 
 	get self(): MemberId {
@@ -126,32 +126,32 @@
 	}
 
 	/** Whether a member was heard so lately that new tasks may be sent there. */
-	isFresh({heardAt, rhythm}: PoolMember): boolean {
-		return this.parts.clock.now() - heardAt <= rhythm.freshMilliseconds;
+	isFresh({heardAt, expectedTiming}: PoolMember): boolean {
+		return this.parts.clock.now() - heardAt <= expectedTiming.staleAfterMilliseconds;
 	}
 
 	/** Whether an entry gave its last heartbeat, for as often as entries in use give one. */
-	hears(id: MemberId): boolean {
+	isResponsive(id: MemberId): boolean {
 		const known = this.#members.get(id);
-		return known !== undefined && this.parts.clock.now() - known.heardAt <= heartbeats.close.freshMilliseconds;
+		return known !== undefined && this.parts.clock.now() - known.heardAt <= heartbeats.active.staleAfterMilliseconds;
 	}
 
 	start(): void {
-		this.#store.add(repeat(this.parts.clock, lookMilliseconds, () => {
+		this.#store.add(repeat(this.parts.clock, checkMilliseconds, () => {
 			this.parts.pauses.look();
-			this.#links.update();
-			this.#dropSilent();
-			this.#teller.beat(lookMilliseconds / 2);
+			this.#connections.update();
+			this.#dropUnresponsive();
+			this.#broadcaster.sendHeartbeats(checkMilliseconds / 2);
 		}));
 	}
 
 	/** Takes entries that this one didn't know, and connects to those that become its neighbours. */
-	meet(entries: Iterable<KnownEntry>): void {
-		this.#links.add(entries);
+	addPeers(entries: Iterable<PeerEndpoint>): void {
+		this.#connections.add(entries);
 	}
 
 	send(to: MemberId, message: PoolMessage): void {
-		const member = this.#met.get(to);
+		const member = this.#everMet.get(to);
 		if (member === undefined) {
 			return;
 		}
@@ -159,33 +159,33 @@
 		this.#outbox.put(member, message);
 		const known = this.#members.get(to);
 		if (message.kind === 'report' && known !== undefined) {
-			this.#teller.tellAlong(known);
+			this.#broadcaster.piggyback(known);
 		}
 	}
 
 	/** Makes lives that were met known to others, by their ids. */
-	introduce(ids: Iterable<MemberId>): readonly Introduction[] {
+	describePeers(ids: Iterable<MemberId>): readonly PeerDescriptor[] {
 		const {network, clock} = this.parts;
 		return [...ids].flatMap(id => {
-			const member = id === this.self ? network.self : this.#met.get(id);
+			const member = id === this.self ? network.self : this.#everMet.get(id);
 			const heardAt = this.#members.get(id)?.heardAt ?? clock.now();
 			return member === undefined ? [] : [{member, silentMilliseconds: id === this.self ? 0 : Math.round(clock.now() - heardAt)}];
 		});
 	}
 
 	/** For how long an entry hadn't been heard by the one that introduced it here last. */
-	silenceBeforeIntroduction(id: MemberId): number {
-		return this.#introductions.named(id)?.silentMilliseconds ?? 0;
+	reportedSilence(id: MemberId): number {
+		return this.#descriptors.get(id)?.silentMilliseconds ?? 0;
 	}
 
 	/**
 	 * Whether an entry is heard, or may be: one that was introduced counts as heard now, and has to answer like any other. One that
 	 * was met and isn't heard any more is lost.
 	 */
-	reach(id: MemberId): boolean {
-		const introduced = this.#introductions.named(id);
-		if (introduced !== undefined && !this.#met.has(id)) {
-			this.#meet(introduced.member);
+	ensureMember(id: MemberId): boolean {
+		const introduced = this.#descriptors.get(id);
+		if (introduced !== undefined && !this.#everMet.has(id)) {
+			this.#addMember(introduced.member);
 		}
 
 		return this.#members.has(id);
@@ -198,70 +198,70 @@
 	}
 
 	/** Tells all entries of a change, soon. */
-	tellChange(): void {
-		this.#teller.tellAll();
+	broadcastState(): void {
+		this.#broadcaster.broadcast();
 	}
 
 	/** Tells one entry how it is here, which it seems not to know. */
-	tellMember(id: MemberId): void {
+	sendState(id: MemberId): void {
 		const known = this.#members.get(id);
 		if (known !== undefined) {
-			this.#teller.tellOne(known);
+			this.#broadcaster.sendTo(known);
 		}
 	}
 
 	/** Tells the entries that are close that tasks wait here, soon. */
-	tellWaiting(): void {
-		this.#teller.tellWaiting();
+	announceDemand(): void {
+		this.#broadcaster.announceDemand();
 	}
 
 	/** Tells of a change of room, if anybody waits for room. */
-	tellRoom(): void {
-		this.#teller.tellRoom();
+	announceCapacity(): void {
+		this.#broadcaster.announceCapacity();
 	}
 
 	dispose(): void {
 		this.#store.dispose();
 	}
 
-	#meet(member: Member): void {
+	#addMember(member: Member): void {
 		const {clock, journal} = this.parts;
 		const now = clock.now();
 		const known: PoolMember = {
-			member, heardAt: now, told: heartbeats.close, rhythm: heartbeats.close, rhythmSince: now, isWatcher: false, isWatched: false, offers: 0, isLeaving: false, routingVersion: 0, wanted: [], room: [],
+			member, heardAt: now, sendTiming: heartbeats.active, expectedTiming: heartbeats.active, timingChangedAt: now, isMonitor: false, isMonitored: false, capacityUpdates: 0, isLeaving: false, routingVersion: 0, demand: [], freeCapacity: [],
 		};
-		this.#met.set(member.id, member);
+		this.#everMet.set(member.id, member);
 		this.#members.set(member.id, known);
-		this.meet([{address: member.peerAddress, zone: member.zone}]);
+		this.addPeers([{address: member.peerAddress, zone: member.zone}]);
 		journal.record('poolMemberMet', {member: member.id, zone: member.zone});
-		this.#outbox.put(member, {kind: 'entries', entries: this.#links.known});
-		this.#teller.tellOne(known);
+		this.#outbox.put(member, {kind: 'entries', entries: this.#connections.known});
+		this.#broadcaster.sendTo(known);
 	}
 
 	#receive(from: Member, body: unknown): void {
 		this.parts.pauses.look();
-		const frame = this.#read(from, body);
+		const frame = this.#decode(from, body);
 		if (frame === undefined) {
 			return;
 		}
 
 		if (!this.#members.has(from.id)) {
-			this.#meet(from);
+			this.#addMember(from);
 		}
 
 		this.#members.get(from.id)!.heardAt = this.parts.clock.now();
 		// Before the messages: one of them may tell of runs that were stopped with the loss, which this entry would begin again.
-		if (this.#epochs.hear(from.id, frame)) {
-			this.#hearOfLoss.fire();
+		if (this.#epochs.observe(from.id, frame)) {
+			this.#detectEviction.fire();
 		}
 
 		const isCurrent = this.#epochs.isCurrent(from.id, frame);
 		for (const message of frame.messages) {
-			this.#take(from, message, isCurrent);
+			this.#handle(from, message, isCurrent);
 		}
 	}
 
-	#read(from: Member, body: unknown): PoolFrame | undefined {
+	#decode(from: Member, body: unknown): PoolFrame | undefined {
 		try {
 			return decodeFrame(body);
 		} catch (error) {
@@ -270,52 +270,52 @@
 		}
 	}
 
-	#take(from: Member, message: PoolMessage, isCurrent: boolean): void {
+	#handle(from: Member, message: PoolMessage, isCurrent: boolean): void {
 		if (message.kind === 'entries') {
-			this.meet(message.entries);
+			this.addPeers(message.entries);
 			return;
 		}
 
 		for (const requester of message.kind === 'handover' ? message.requesters : []) {
-			this.#introductions.add(requester);
+			this.#descriptors.add(requester);
 		}
 
 		if (message.kind === 'adopted') {
 			// The new owner has heard of this entry less often than the former one, and has to know soon that it lives.
-			this.tellMember(from.id);
+			this.sendState(from.id);
 		}
 
 		if (message.kind === 'state') {
-			this.#takeState(this.#members.get(from.id), message, isCurrent);
+			this.#handleState(this.#members.get(from.id), message, isCurrent);
 		}
 
 		if (message.kind === 'lost') {
-			this.#takeLoss(message.member);
+			this.#handleReportedLoss(message.member);
 		}
 
 		this.#message.fire({from, message, isCurrent});
 	}
 
 	/** The member is gone where a listener of an earlier message of the batch has found it so. */
-	#takeState(known: PoolMember | undefined, {state, isForWatcher}: Extract<PoolMessage, {kind: 'state'}>, isCurrent: boolean): void {
+	#handleState(known: PoolMember | undefined, {state, isForMonitor}: Extract<PoolMessage, {kind: 'state'}>, isCurrent: boolean): void {
 		if (known === undefined) {
 			return;
 		}
 
-		const beginsToWait = known.wanted.length === 0 && state.wanted.length > 0;
+		const hasNewDemand = known.demand.length === 0 && state.demand.length > 0;
 		// A request for room that was told in a former epoch would be refused: it may have waited in a cut.
-		Object.assign(known, state, {isWatched: isForWatcher, offers: 0, room: isCurrent ? state.room : []});
-		this.#room.fire();
-		if (beginsToWait) {
+		Object.assign(known, state, {isMonitored: isForMonitor, capacityUpdates: 0, freeCapacity: isCurrent ? state.freeCapacity : []});
+		this.#changeCapacity.fire();
+		if (hasNewDemand) {
 			// It may not know of room that is here since the last heartbeat.
-			this.tellRoom();
+			this.announceCapacity();
 		}
 	}
 
 	/** A watcher misses an entry. One that was heard here since its last heartbeat to the watcher was due, or that is in use, stays. */
-	#takeLoss(id: MemberId): void {
+	#handleReportedLoss(id: MemberId): void {
 		const known = this.#members.get(id);
-		if (known?.rhythm === heartbeats.distant && this.parts.clock.now() - known.heardAt > heartbeats.near.periodMilliseconds) {
+		if (known?.expectedTiming === heartbeats.idle && this.parts.clock.now() - known.heardAt > heartbeats.monitored.periodMilliseconds) {
 			this.#drop(id, 'missed by an entry that watches over it');
 		}
 	}
@@ -324,14 +324,14 @@
 	 * Time that this entry's clock didn't count is part of the others' silence. After a pause each of them has to be heard within
 	 * its next heartbeat: its last ones may still be unread, and the time of day may just have been set.
 	 */
-	#notePause({milliseconds, counted}: Pause): void {
+	#handlePause({milliseconds, counted}: Pause): void {
 		const now = this.parts.clock.now();
 		for (const known of this.#members.values()) {
-			const {silenceMilliseconds, periodMilliseconds} = known.rhythm;
-			const heartbeat = periodMilliseconds + lookMilliseconds;
+			const {timeoutMilliseconds, periodMilliseconds} = known.expectedTiming;
+			const heartbeat = periodMilliseconds + checkMilliseconds;
 			const silentBefore = now - known.heardAt - counted;
 			if (silentBefore <= heartbeat) {
-				known.heardAt = Math.min(now, Math.max(now - milliseconds - silentBefore, now - silenceMilliseconds + heartbeat));
+				known.heardAt = Math.min(now, Math.max(now - milliseconds - silentBefore, now - timeoutMilliseconds + heartbeat));
 			} else {
 				known.heardAt -= milliseconds - counted;
 			}
@@ -342,15 +342,15 @@
 	 * What others had asked for before has to be asked for again: they have begun it elsewhere, or were lost without being
 	 * missed here.
 	 */
-	#noteStandstill(milliseconds: number): void {
-		this.#epochs.notePause();
-		this.#loseTouch.fire(`stood still for ${Math.round(milliseconds)} ms`);
+	#handleStall(milliseconds: number): void {
+		this.#epochs.recordPause();
+		this.#stall.fire(`stood still for ${Math.round(milliseconds)} ms`);
 		for (const id of this.#members.keys()) {
-			this.#lose.fire(id);
+			this.#loseMember.fire(id);
 		}
 	}
 
-	#tellLoss(lost: MemberId): void {
+	#reportLoss(lost: MemberId): void {
 		const {zone} = this.parts.network.self;
 		for (const {member} of this.#members.values()) {
 			if (member.zone === zone) {
@@ -359,15 +359,15 @@
 		}
 	}
 
-	#dropSilent(): void {
+	#dropUnresponsive(): void {
 		const now = this.parts.clock.now();
-		for (const {member, heardAt, rhythm, rhythmSince, isWatched} of this.#members.values()) {
+		for (const {member, heardAt, expectedTiming, timingChangedAt, isMonitored} of this.#members.values()) {
 			// One that has just become close had no reason to be heard more often before.
-			const silence = now - (rhythm === heartbeats.distant ? heardAt : Math.max(heardAt, rhythmSince));
-			if (silence > rhythm.silenceMilliseconds) {
+			const silence = now - (expectedTiming === heartbeats.idle ? heardAt : Math.max(heardAt, timingChangedAt));
+			if (silence > expectedTiming.timeoutMilliseconds) {
 				this.#drop(member.id, `silent for ${Math.round(silence)} ms`);
-				if (isWatched) {
-					this.#tellLoss(member.id);
+				if (isMonitored) {
+					this.#reportLoss(member.id);
 				}
 			}
 		}
@@ -375,10 +375,10 @@
 
 	#drop(id: MemberId, cause: string): void {
 		if (this.#members.delete(id)) {
-			this.#epochs.noteLoss(id);
-			this.#links.noteLoss();
+			this.#epochs.recordLoss(id);
+			this.#connections.noteLoss();
 			this.parts.journal.record('poolMemberLost', {member: id, cause});
-			this.#lose.fire(id);
+			this.#loseMember.fire(id);
 		}
 	}
 }
--- a/src/features/pool/remote-runs.ts
+++ b/src/features/pool/remote-runs.ts
@@ -63,11 +63,11 @@
 		this.#store.add(executor.onWillRelease(({requester, request}) => {
 			this.#forgetAdoption(request);
 			// Its entry may be gone. Without an owner the run would go on for the rest of its lease, beside the caller's next submission.
-			if (requester !== pool.self && !pool.hears(requester)) {
+			if (requester !== pool.self && !pool.isResponsive(requester)) {
 				executor.stop(request.task, request.attempt, 'its entry was not heard when the target changed hands');
 			}
 		}));
-		this.#store.add(pool.onDidLose(member => {
+		this.#store.add(pool.onDidLoseMember(member => {
 			// The entry's job may be submitted again elsewhere: nothing of it may run beside that.
 			executor.stopRunsOf(member, 'its entry is lost');
 			for (const task of this.#waiting.keys()) {
@@ -106,7 +106,7 @@
 
 	#adopt({requester, request, handedOverAt}: Adoption): void {
 		const {task, attempt} = request;
-		if (!this.pool.reach(requester)) {
+		if (!this.pool.ensureMember(requester)) {
 			// It can't be told that the run goes on, and begins the task elsewhere once the lease should have passed.
 			this.executor.stop(task, attempt, 'its entry is not heard here');
 			return;
@@ -120,7 +120,7 @@
 		this.#remembered.set(runKeyOf(request), run);
 		this.pool.send(requester, adopted);
 		// The silence before the handover counts: the entry would have been lost so long after it by the former owner.
-		const silenceLeft = heartbeats.close.silenceMilliseconds - this.pool.silenceBeforeIntroduction(requester);
+		const silenceLeft = heartbeats.active.timeoutMilliseconds - this.pool.reportedSilence(requester);
 		this.clock.schedule(Math.max(0, handedOverAt + silenceLeft - now), () => {
 			if (!run.isAdoptionHeard && run.endedAt === undefined) {
 				this.executor.stop(task, attempt, 'its entry has not heard of its next owner');
@@ -157,7 +157,7 @@
 			});
 			// Others have filled what it was told of. With the old picture it would send the task to the next full target here: in
 			// the first second after a loss of all entries three of four tasks that were sent were refused.
-			this.pool.tellMember(from);
+			this.pool.sendState(from);
 		}
 	}
 
--- a/src/features/pool/state-teller.ts
+++ b/src/features/pool/state-broadcaster.ts
@@ -1,10 +1,10 @@
 /** When this entry tells its state, and to whom. */
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
-import type {EntryState} from './entry-state.js';
+import type {NodeState} from './node-state.js';
 import {heartbeats} from './heartbeats.js';
 import type {Outbox} from './outbox.js';
-import {placesFor} from './places-for.js';
+import {countEligibleTargets} from './count-eligible-targets.js';
 import type {PoolMember} from './pool-member.js';
 
 /** A change that all entries have to know waits so long for others of its kind. */
@@ -41,20 +41,20 @@
  * before the next heartbeat of an entry that isn't in use, a second later in a large fleet. At three quarters of the load that
  * takes a third of the frames away, at nine tenths a fifth, and leaves the waits as they are (counted in memory, 39 entries).
  */
-const offersForStatement = 2;
+const updatesPerDemand = 2;
 /** Who was told so lately isn't told again with every message. */
 const alongMilliseconds = 50;
 
 /** What a teller works with. */
-type StateTellerParts = {
+type StateBroadcasterParts = {
 	readonly members: () => Iterable<PoolMember>;
-	readonly ownState: () => EntryState;
+	readonly ownState: () => NodeState;
 	readonly outbox: Outbox;
 	readonly clock: Clock;
 };
 
 /** Sends heartbeats, and changes between them. */
-export class StateTeller implements Disposable {
+export class StateBroadcaster implements Disposable {
 	/** When each entry was told last. */
 	readonly #toldAt = new WeakMap<PoolMember, number>();
 	#toldCloseAt = Number.NEGATIVE_INFINITY;
@@ -67,31 +67,31 @@
 	#pendingAll: Disposable | undefined;
 	#pendingWaiting: Disposable | undefined;
 
-	constructor(private readonly parts: StateTellerParts) {}
+	constructor(private readonly parts: StateBroadcasterParts) {}
 
 	/** Sends the heartbeats that are due within the given time; whoever was told since the last one needs none. */
-	beat(leewayMilliseconds: number): void {
+	sendHeartbeats(leewayMilliseconds: number): void {
 		const soon = this.parts.clock.now() + leewayMilliseconds;
 		this.#tell([...this.parts.members()].filter(member => {
-			const {periodMilliseconds} = member.told;
+			const {periodMilliseconds} = member.sendTiming;
 			return soon - this.#lastToldAt(member) >= periodMilliseconds;
 		}));
 	}
 
 	/** Tells one entry now. */
-	tellOne(member: PoolMember): void {
+	sendTo(member: PoolMember): void {
 		this.#tell([member]);
 	}
 
 	/** Lets the state go along with a message that is sent anyway. */
-	tellAlong(member: PoolMember): void {
+	piggyback(member: PoolMember): void {
 		if (this.parts.clock.now() - this.#lastToldAt(member) >= alongMilliseconds) {
 			this.#tell([member]);
 		}
 	}
 
 	/** Tells all entries of a change, soon. */
-	tellAll(): void {
+	broadcast(): void {
 		this.#pendingAll ??= this.parts.clock.schedule(soonMilliseconds, () => {
 			this.#pendingAll = undefined;
 			this.#tell([...this.parts.members()]);
@@ -99,7 +99,7 @@
 	}
 
 	/** Tells the entries that are close that tasks wait here, soon. */
-	tellWaiting(): void {
+	announceDemand(): void {
 		const {length} = this.#close;
 		const due = this.#toldCloseAt + (length * waitingMillisecondsForEach) - this.parts.clock.now();
 		this.#pendingWaiting ??= this.parts.clock.schedule(Math.max(0, due), () => {
@@ -110,7 +110,7 @@
 	}
 
 	/** Tells of a change of room, if anybody waits for room. */
-	tellRoom(): void {
+	announceCapacity(): void {
 		const dueAt = this.#changeToldAt + newRoomMilliseconds;
 		if (this.#room !== undefined && this.#room.dueAt <= dueAt) {
 			return;
@@ -131,7 +131,7 @@
 	}
 
 	get #close(): readonly PoolMember[] {
-		return [...this.parts.members()].filter(({told}) => told !== heartbeats.distant);
+		return [...this.parts.members()].filter(({sendTiming}) => sendTiming !== heartbeats.idle);
 	}
 
 	#lastToldAt(member: PoolMember): number {
@@ -147,7 +147,7 @@
 		const state = ownState();
 		for (const known of told) {
 			this.#toldAt.set(known, clock.now());
-			outbox.put(known.member, {kind: 'state', state, isForWatcher: known.isWatcher});
+			outbox.put(known.member, {kind: 'state', state, isForMonitor: known.isMonitor});
 		}
 	}
 
@@ -165,7 +165,7 @@
 		const {members, ownState, clock} = this.parts;
 		const state = ownState();
 		const fleet = [...members()];
-		const offers = fleet.filter(member => isWaiting(member)).map(member => ({member, places: placesFor(member.wanted, state.room)})).filter(({places}) => places > 0);
+		const offers = fleet.filter(member => isWaiting(member)).map(member => ({member, places: countEligibleTargets(member.demand, state.freeCapacity)})).filter(({places}) => places > 0);
 		const places = Math.max(0, ...offers.map(offer => offer.places));
 		const isNew = places > this.#placesTold;
 		this.#placesTold = Math.min(this.#placesTold, places);
@@ -191,13 +191,13 @@
 		const told = Array.from({length: count}, (_, turn) => waiting[(this.#toldUpTo + turn + 1) % waiting.length]!);
 		this.#toldUpTo += count;
 		for (const member of told) {
-			member.offers += 1;
+			member.capacityUpdates += 1;
 		}
 
 		this.#tell(told);
 	}
 }
 
-function isWaiting({wanted, offers}: PoolMember): boolean {
-	return wanted.length > 0 && offers < offersForStatement;
+function isWaiting({demand, capacityUpdates}: PoolMember): boolean {
+	return demand.length > 0 && capacityUpdates < updatesPerDemand;
 }
--- a/test/features/listing/shared-list.test.ts
+++ b/test/features/listing/target-list-replica.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {test, type TestContext} from 'node:test';
 import type {MemberId} from '../../../src/base/member-id.js';
-import {smallFleet} from '../../../src/features/pool/small-fleet.js';
+import {fullMeshLimit} from '../../../src/features/pool/full-mesh-limit.js';
 import {ListWorld} from '../../support/list-world.js';
 
 /** A target that has announced its leaving gets no new tasks after so long. */
@@ -61,9 +61,9 @@
 });
 
 test('the entries of a small fleet read by themselves', async context => {
-	const {world, pass} = await worldOf(context, named('z', smallFleet + 1));
+	const {world, pass} = await worldOf(context, named('z', fullMeshLimit + 1));
 	await pass(1000);
-	assert.equal(world.takeReaders().length, smallFleet + 1);
+	assert.equal(world.takeReaders().length, fullMeshLimit + 1);
 	assert.deepEqual(world.journal.named('listOriginChanged'), []);
 });
 
@@ -274,7 +274,7 @@
 	const [leaving] = world.takeReaders();
 	const entry = world.entries.get(leaving!)!;
 	entry.isLeaving = true;
-	entry.pool.tellChange();
+	entry.pool.broadcastState();
 	await pass(3000);
 	world.takeReaders();
 	await pass(2000);
@@ -290,10 +290,10 @@
 	const [asked, asker] = [...world.entries.keys()].filter(name => !readers.includes(name));
 	const answers: number[] = [];
 	const {circle} = world.entries.get(asker!)!;
-	circle.onDidAnswer(({passage}) => {
-		answers.push(passage.question);
+	circle.onDidReceiveUpdate(({update}) => {
+		answers.push(update.requestId);
 	});
-	circle.ask(`${asked}#1` as MemberId, {question: 1000, from: undefined});
+	circle.sendRequest(`${asked}#1` as MemberId, {requestId: 1000, from: undefined});
 	await pass(500);
 	assert.equal(world.takeReaders().includes(asked!), true);
 	assert.equal(answers.includes(1000), true);
--- a/test/features/pool/epochs.test.ts
+++ b/test/features/pool/epochs.test.ts
@@ -13,16 +13,16 @@
 
 	/** What the left one would send to the right one now. */
 	get fromLeft() {
-		return {epoch: this.left.own(right), heardEpoch: this.left.heard(right)};
+		return {epoch: this.left.local(right), acknowledgedEpoch: this.left.remote(right)};
 	}
 
 	get fromRight() {
-		return {epoch: this.right.own(left), heardEpoch: this.right.heard(left)};
+		return {epoch: this.right.local(left), acknowledgedEpoch: this.right.remote(left)};
 	}
 
 	/** Whether a loss is noticed, left and right. */
 	talk(): readonly [boolean, boolean] {
-		return [this.left.hear(right, this.fromRight), this.right.hear(left, this.fromLeft)];
+		return [this.left.observe(right, this.fromRight), this.right.observe(left, this.fromLeft)];
 	}
 }
 
@@ -37,7 +37,7 @@
 	const pair = acquainted();
 	const former = pair.fromLeft;
 	assert.equal(pair.right.isCurrent(left, former), true);
-	pair.right.noteLoss(left);
+	pair.right.recordLoss(left);
 	assert.equal(pair.right.isCurrent(left, former), false);
 	pair.talk();
 	assert.equal(pair.right.isCurrent(left, pair.fromLeft), true);
@@ -48,7 +48,7 @@
 test('a request from before its receiver stood still is outdated', () => {
 	const pair = acquainted();
 	const former = pair.fromLeft;
-	pair.right.notePause();
+	pair.right.recordPause();
 	assert.equal(pair.right.isCurrent(left, former), false);
 	assert.deepEqual(pair.talk(), [false, false]);
 	assert.equal(pair.right.isCurrent(left, pair.fromLeft), true);
@@ -57,7 +57,7 @@
 // Guards against an entry that goes on with its jobs though others have stopped what it had asked for.
 test('an entry that was lost without noticing learns of it once', () => {
 	const pair = acquainted();
-	pair.right.noteLoss(left);
+	pair.right.recordLoss(left);
 	assert.equal(pair.talk()[0], true);
 	assert.equal(pair.talk()[0], false);
 });
@@ -66,31 +66,31 @@
 test('a loss that was noticed on both sides says nothing new', () => {
 	const pair = acquainted();
 	const [heldUp, alsoHeldUp] = [pair.fromRight, pair.fromLeft];
-	pair.left.noteLoss(right);
-	pair.right.noteLoss(left);
-	assert.deepEqual([pair.left.hear(right, heldUp), pair.right.hear(left, alsoHeldUp)], [false, false]);
+	pair.left.recordLoss(right);
+	pair.right.recordLoss(left);
+	assert.deepEqual([pair.left.observe(right, heldUp), pair.right.observe(left, alsoHeldUp)], [false, false]);
 	assert.deepEqual([...pair.talk(), ...pair.talk(), ...pair.talk()], [false, false, false, false, false, false]);
 });
 
 // Guards against jobs that are given up again and again while one member after the other tells of the same silence.
 test('a loss from before the latest pause was dealt with then', () => {
 	const pair = acquainted();
-	pair.right.noteLoss(left);
+	pair.right.recordLoss(left);
 	const late = pair.fromRight;
-	pair.left.notePause();
-	assert.equal(pair.left.hear(right, late), false);
+	pair.left.recordPause();
+	assert.equal(pair.left.observe(right, late), false);
 	assert.deepEqual([...pair.talk(), ...pair.talk()], [false, false, false, false]);
-	pair.right.noteLoss(left);
-	assert.equal(pair.left.hear(right, pair.fromRight), true);
+	pair.right.recordLoss(left);
+	assert.equal(pair.left.observe(right, pair.fromRight), true);
 });
 
 // Guards against frames of a former connection that are read after those of the present one.
 test('a late frame takes no epoch back', () => {
 	const pair = acquainted();
 	const late = pair.fromRight;
-	pair.right.noteLoss(left);
+	pair.right.recordLoss(left);
 	pair.talk();
-	const stated = pair.left.heard(right);
-	pair.left.hear(right, late);
-	assert.deepEqual(pair.left.heard(right), stated);
+	const stated = pair.left.remote(right);
+	pair.left.observe(right, late);
+	assert.deepEqual(pair.left.remote(right), stated);
 });
--- a/test/features/pool/messages.test.ts
+++ b/test/features/pool/messages.test.ts
@@ -26,8 +26,8 @@
 };
 const messages: readonly PoolMessage[] = [
 	{
-		kind: 'state', isForWatcher: true, state: {
-			isLeaving: true, routingVersion: 7, wanted: [{service, need}], room: [{service, labels: ['a', 'rack-1'], room: need}, {service, labels: [], room: Resources.none}],
+		kind: 'state', isForMonitor: true, state: {
+			isLeaving: true, routingVersion: 7, demand: [{service, need}], freeCapacity: [{service, labels: ['a', 'rack-1'], room: need}, {service, labels: [], room: Resources.none}],
 		},
 	},
 	{kind: 'entries', entries: [{address: '10.0.0.1:1', zone: 'zone' as AvailabilityZone}]},
@@ -95,7 +95,7 @@
 });
 
 test('a frame comes back from the wire with its epochs', () => {
-	const frame = {epoch: {losses: 2, pauses: 1}, heardEpoch: {losses: 0, pauses: 3}, messages};
+	const frame = {epoch: {losses: 2, pauses: 1}, acknowledgedEpoch: {losses: 0, pauses: 3}, messages};
 	assert.deepEqual(decodeFrame(decodeCbor(encodeCbor(encodeFrame(frame)))), frame);
 });
 
--- a/test/features/pool/pool.test.ts
+++ b/test/features/pool/pool.test.ts
@@ -45,8 +45,8 @@
 		ownState: () => ({
 			isLeaving: false,
 			routingVersion: 0,
-			wanted: isWaiting ? [{service, need}] : [],
-			room: Array.from({length: places}, () => ({service, labels: [], room: need})),
+			demand: isWaiting ? [{service, need}] : [],
+			freeCapacity: Array.from({length: places}, () => ({service, labels: [], room: need})),
 		}),
 		peersInUse: () => isUser(index) ? inUse : new Set(),
 		pauses: new PauseWatch(clock),
@@ -67,7 +67,7 @@
 	fleet.network.sent.clear();
 	for (let tick = 0; tick < 100; tick += 1) {
 		if (tellRoom) {
-			fleet.pools[0]!.tellRoom();
+			fleet.pools[0]!.announceCapacity();
 		}
 
 		await passTime(fleet.clock, 10);
@@ -96,7 +96,7 @@
 	await passTime(fleet.clock, 1000);
 	fleet.network.received.clear();
 	for (let change = 0; change < 4; change += 1) {
-		fleet.pools[0]!.tellRoom();
+		fleet.pools[0]!.announceCapacity();
 		await passTime(fleet.clock, 21);
 	}
 
@@ -109,7 +109,7 @@
 	const fleet = fleetOf(40, false);
 	await passTime(fleet.clock, 1000);
 	const lost: string[] = [];
-	fleet.pools[0]!.onDidLose(member => {
+	fleet.pools[0]!.onDidLoseMember(member => {
 		lost.push(member);
 	});
 	await passTime(fleet.clock, 5000);
@@ -146,7 +146,7 @@
 	const fleet = fleetOf(40, false, {zones: 4, inUse});
 	await passTime(fleet.clock, 3000);
 	const lost: string[] = [];
-	fleet.pools[0]!.onDidLose(member => {
+	fleet.pools[0]!.onDidLoseMember(member => {
 		lost.push(member);
 	});
 	inUse.add('entry-1#1' as MemberId);
@@ -165,7 +165,7 @@
 	const fleet = fleetOf(40, false, {inUse, isUser: index => index === 0 || index === 7});
 	await passTime(fleet.clock, 2000);
 	const lost: string[] = [];
-	fleet.pools[0]!.onDidLose(member => {
+	fleet.pools[0]!.onDidLoseMember(member => {
 		lost.push(member);
 	});
 	for (let entry = 1; entry < 40; entry += 1) {
--- a/test/features/pool/state-teller.test.ts
+++ b/test/features/pool/state-broadcaster.test.ts
@@ -10,7 +10,7 @@
 import {Epochs} from '../../../src/features/pool/epochs.js';
 import {Outbox} from '../../../src/features/pool/outbox.js';
 import type {PoolMember} from '../../../src/features/pool/pool-member.js';
-import {StateTeller} from '../../../src/features/pool/state-teller.js';
+import {StateBroadcaster} from '../../../src/features/pool/state-broadcaster.js';
 import type {Member} from '../../../src/runtime/peers/member.js';
 import type {PeerMessage} from '../../../src/runtime/peers/peer-message.js';
 import {FakeClock} from '../../support/fake-clock.js';
@@ -37,24 +37,24 @@
 			id: `e-${index}` as MemberId, instance: `e-${index}` as InstanceId, zone: 'z' as AvailabilityZone, peerAddress: `10.0.0.${index}:1`,
 		},
 		heardAt: begunAt,
-		told: index < closeCount ? heartbeats.close : heartbeats.distant,
-		isWatcher: false,
-		isWatched: false,
-		rhythm: index < closeCount ? heartbeats.close : heartbeats.distant,
-		rhythmSince: begunAt,
+		sendTiming: index < closeCount ? heartbeats.active : heartbeats.idle,
+		isMonitor: false,
+		isMonitored: false,
+		expectedTiming: index < closeCount ? heartbeats.active : heartbeats.idle,
+		timingChangedAt: begunAt,
 		isLeaving: false,
 		routingVersion: 0,
-		offers: 0,
-		wanted: [{service, need}],
-		room: [],
+		capacityUpdates: 0,
+		demand: [{service, need}],
+		freeCapacity: [],
 	}));
 	const world = {
 		places: 0, clock, network, members,
 	};
-	const teller = new StateTeller({
+	const broadcaster = new StateBroadcaster({
 		members: () => members,
 		ownState: () => ({
-			isLeaving: false, routingVersion: 0, wanted: [], room: Array.from({length: world.places}, () => ({service, labels: [], room: need})),
+			isLeaving: false, routingVersion: 0, demand: [], freeCapacity: Array.from({length: world.places}, () => ({service, labels: [], room: need})),
 		}),
 		outbox: new Outbox({
 			network: network.join('self', 'z'), channel: 'pool', epochs: new Epochs(), clock,
@@ -67,45 +67,45 @@
 		return network.told.slice(from).map(({to}) => to);
 	};
 
-	return {world, teller, toldWithin};
+	return {world, broadcaster, toldWithin};
 }
 
 // An entry of a large fleet begins to wait, and a few milliseconds later is told to stop. That it leaves has to reach everybody:
 // taken for the same as the message that it waits, it would reach only those that are close, and others go on sending it tasks.
 test('what all have to know isn\'t taken for what only those that are close need', () => {
-	const {teller, toldWithin} = worldOf(20, 4);
-	teller.tellWaiting();
-	teller.tellAll();
+	const {broadcaster, toldWithin} = worldOf(20, 4);
+	broadcaster.announceDemand();
+	broadcaster.broadcast();
 	assert.equal(new Set(toldWithin(30)).size, 20);
 });
 
 // In a burst places become free one after the other. Two entries were told of the first one and take it; the second one becomes
 // free while the first would soon be told again, and stood idle until then.
 test('new room is told within 5 ms, also while other room has just been told', () => {
-	const {world, teller, toldWithin} = worldOf(7, 7);
+	const {world, broadcaster, toldWithin} = worldOf(7, 7);
 	world.places = 3;
-	teller.tellRoom();
+	broadcaster.announceCapacity();
 	assert.equal(toldWithin(1).length, 6);
 	world.places = 4;
-	teller.tellRoom();
+	broadcaster.announceCapacity();
 	assert.equal(toldWithin(5).length, 7);
 });
 
 // A task waits for ten milliseconds and finds room; the entry that has more room went on telling until it heard again, a second
 // later in a large fleet. At three quarters of the load that was a third of all messages.
 test('an entry is told of room twice for each time that it says that tasks wait there', () => {
-	const {world, teller, toldWithin} = worldOf(3, 3);
+	const {world, broadcaster, toldWithin} = worldOf(3, 3);
 	for (const places of [3, 6, 9]) {
 		world.places = places;
-		teller.tellRoom();
+		broadcaster.announceCapacity();
 	}
 
 	const first = toldWithin(500).length;
 	for (const member of world.members) {
-		member.offers = 0;
+		member.capacityUpdates = 0;
 	}
 
 	world.places = 12;
-	teller.tellRoom();
+	broadcaster.announceCapacity();
 	assert.deepEqual({first, again: toldWithin(500).length}, {first: 6, again: 6});
 });
--- a/test/support/list-world.ts
+++ b/test/support/list-world.ts
@@ -2,7 +2,7 @@
 import type {AvailabilityZone} from '../../src/base/availability-zone.js';
 import type {InstanceId} from '../../src/base/instance-id.js';
 import type {MemberId} from '../../src/base/member-id.js';
-import {PoolCircle} from '../../src/features/listing/pool-circle.js';
+import {PoolReaderGroup} from '../../src/features/listing/pool-reader-group.js';
 import {Pool} from '../../src/features/pool/pool.js';
 import {PauseWatch} from '../../src/runtime/pause-watch.js';
 import {StoreCatalogue} from '../../platform/store-catalogue.js';
@@ -19,7 +19,7 @@
 type Entry = {
 	readonly clock: EntryClock;
 	readonly pool: Pool;
-	readonly circle: PoolCircle;
+	readonly circle: PoolReaderGroup;
 	readonly catalogue: StoreCatalogue;
 	readonly address: string;
 	isLeaving: boolean;
@@ -90,8 +90,8 @@
 		const known = [...this.network.ends.values()].map(({self}) => ({address: self.peerAddress, zone: self.zone}));
 		for (const {pool, circle, catalogue} of entries) {
 			pool.start();
-			circle.meet(known);
-			pool.meet(known);
+			circle.addPeers(known);
+			pool.addPeers(known);
 			catalogue.start(circle);
 		}
 	}
@@ -107,7 +107,7 @@
 		const pool = new Pool({
 			network,
 			ownState: () => ({
-				isLeaving: this.entries.get(name)?.isLeaving ?? false, routingVersion: 0, wanted: [], room: [],
+				isLeaving: this.entries.get(name)?.isLeaving ?? false, routingVersion: 0, demand: [], freeCapacity: [],
 			}),
 			peersInUse: () => new Set<MemberId>(),
 			pauses: new PauseWatch(clock),
@@ -115,9 +115,9 @@
 			journal,
 		});
 		const address = network.self.peerAddress;
-		const circle = new PoolCircle({pool, self: {address, zone}, clock});
-		circle.onDidAnswer(({passage}) => {
-			this.passedBytes += passage.records.length;
+		const circle = new PoolReaderGroup({pool, self: {address, zone}, clock});
+		circle.onDidReceiveUpdate(({update}) => {
+			this.passedBytes += update.records.length;
 		});
 		const catalogue = new StoreCatalogue({
 			store: (this.clientOf ?? ((of: string, at: EntryClock) => this.store.clientOf(of, at)))(name, clock),
--- a/test/support/pooled-world.ts
+++ b/test/support/pooled-world.ts
@@ -106,7 +106,7 @@
 
 		const known = [...this.network.ends.values()].map(({self}) => ({address: self.peerAddress, zone: self.zone}));
 		for (const entry of this.entries.values()) {
-			entry.pool.meet(known);
+			entry.pool.addPeers(known);
 		}
 
 		await passTime(this.clock, 1000);
