--- a/src/features/dispatch/available-remote-targets.ts
+++ b/src/features/dispatch/available-remote-targets.ts
@@ -15,7 +15,7 @@
 			continue;
 		}
 
-		for (const share of member.room) {
+		for (const share of member.freeCapacity) {
 			if (share.room.cpuMillis >= leastCpuMillis) {
 				open.push({member, target: share});
 			}
--- a/src/features/pool/entry-state.ts
+++ b/src/features/pool/node-state.ts
@@ -3,11 +3,11 @@
 import type {CapacityDemand} from '../execution/capacity-demand.js';
 
 /** Sent to all other entries regularly, as a heartbeat. */
-export type EntryState = {
+export type NodeState = {
 	readonly isLeaving: boolean;
 	readonly routingVersion: number;
 	/** What its waiting tasks need at least; empty where none waits. */
-	readonly wanted: readonly CapacityDemand[];
+	readonly demand: readonly CapacityDemand[];
 	/** The room of each target that takes new tasks. */
-	readonly room: readonly FreeCapacity[];
+	readonly freeCapacity: readonly FreeCapacity[];
 };
