--- a/src/features/execution/adoption.ts
+++ b/src/features/execution/adoption.ts
@@ -1,6 +1,6 @@
-/** A run that goes on under another owner. */
+/** A run that continues under another owner. */
 import type {MemberId} from '../../base/member-id.js';
 import type {RunRequest} from './run-request.js';
 
-/** `handedOverAt` is when the former owner's word came, in monotonic time. */
+/** `handedOverAt` is the monotonic time at which the handover arrived. */
 export type Adoption = {readonly requester: MemberId; readonly request: RunRequest; readonly handedOverAt: number};
--- a/src/features/execution/choose-target.ts
+++ b/src/features/execution/choose-target.ts
@@ -1,4 +1,4 @@
-/** The choice among an entry's own targets. */
+/** Choice among the targets that an entry owns. */
 import {jobOfTask} from '../../base/job-of-task.js';
 import type {Resources} from '../../base/resources.js';
 import type {TargetHealth} from '../placement/target-health.js';
@@ -7,47 +7,47 @@
 import type {RunRequest} from './run-request.js';
 import type {TargetSession} from './target-session.js';
 
-/** A probe may be late or fail, and all of its job with it: only narrow jobs, of which little is lost, are used for it. */
-const probeJobTasks = 2;
+/** Maximum number of tasks of a job that may probe a target; a failed probe delays or fails its whole job. */
+const maxProbeJobTasks = 2;
 
-/** What is known of targets and tasks beside room; the time is monotonic. */
-type Knowledge = {readonly health: TargetHealth; readonly losses: LossHistory; readonly now: number};
+/** State that the choice depends on; `now` is monotonic. */
+type SelectionContext = {readonly health: TargetHealth; readonly losses: LossHistory; readonly now: number};
 
 /**
- * Best fit: the target with the least room left keeps whole targets free for wide tasks. A task that was lost with a target
- * before has as little company as can be had: if it has crashed that target, it takes little with it the next time.
+ * Best fit: chooses the eligible target with the least remaining CPU, which keeps whole targets free for large tasks. Keeps
+ * tasks that may have crashed a target apart from other jobs' runs first. Undefined if no target is eligible.
  */
-export function chooseTarget(sessions: Iterable<TargetSession>, request: RunRequest, knowledge: Knowledge): TargetSession | undefined {
-	let best: {readonly session: TargetSession; readonly company: number; readonly rest: number} | undefined;
+export function chooseTarget(sessions: Iterable<TargetSession>, request: RunRequest, context: SelectionContext): TargetSession | undefined {
+	let best: {readonly session: TargetSession; readonly coLocatedRuns: number; readonly remainingCpuMillis: number} | undefined;
 	for (const session of sessions) {
-		const {room} = session;
-		if (!suits(session, request, room, knowledge)) {
+		const {freeCapacity} = session;
+		if (!isEligible(session, request, freeCapacity, context)) {
 			continue;
 		}
 
-		const company = companyOf(session, request, knowledge.losses);
-		const rest = room.cpuMillis - request.need.cpuMillis;
-		if (best === undefined || company < best.company || (company === best.company && rest < best.rest)) {
-			best = {session, company, rest};
+		const coLocatedRuns = countCoLocatedRuns(session, request, context.losses);
+		const remainingCpuMillis = freeCapacity.cpuMillis - request.need.cpuMillis;
+		if (best === undefined || coLocatedRuns < best.coLocatedRuns || (coLocatedRuns === best.coLocatedRuns && remainingCpuMillis < best.remainingCpuMillis)) {
+			best = {session, coLocatedRuns, remainingCpuMillis};
 		}
 	}
 
 	return best?.session;
 }
 
-function suits(session: TargetSession, request: RunRequest, room: Resources, {health, now}: Knowledge): boolean {
+function isEligible(session: TargetSession, request: RunRequest, freeCapacity: Resources, {health, now}: SelectionContext): boolean {
 	const {target} = session;
-	const isKind = target.service === request.service && satisfiesConstraints(request, target.labels);
-	if (!isKind || !session.isOpen || !request.need.fitsInto(room) || request.excludedTargets.includes(target.id) || session.isFullOfJob(request)) {
+	const isMatching = target.service === request.service && satisfiesConstraints(request, target.labels);
+	if (!isMatching || !session.isOpen || !request.need.fitsInto(freeCapacity) || request.excludedTargets.includes(target.id) || session.hasReachedJobLimit(request)) {
 		return false;
 	}
 
 	const condition = health.condition(target.id, now);
-	return condition === 'probe' ? request.jobTaskCount <= probeJobTasks : condition !== 'out';
+	return condition === 'probe' ? request.jobTaskCount <= maxProbeJobTasks : condition !== 'out';
 }
 
-/** For a task that was lost, the runs of other jobs beside it; for a sound one, those of them that were lost. */
-function companyOf(session: TargetSession, {task}: RunRequest, losses: LossHistory): number {
+/** Counts the runs of other jobs on the target for a task that was lost before; for a sound one, only those that were lost before. */
+function countCoLocatedRuns(session: TargetSession, {task}: RunRequest, losses: LossHistory): number {
 	if (losses.isEmpty) {
 		return 0;
 	}
--- a/src/features/execution/executor.ts
+++ b/src/features/execution/executor.ts
@@ -1,4 +1,4 @@
-/** The runs on all targets that this entry owns. */
+/** Execution of tasks on all targets that this entry owns. */
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
 import {Emitter} from '../../base/emitter.js';
@@ -24,10 +24,10 @@
 import type {TargetSession} from './target-session.js';
 import {TargetSessions} from './target-sessions.js';
 
-/** How long a release waits for starts that are under way. */
-const pendingStartMilliseconds = 60;
+/** How long a release waits for unanswered starts. */
+const pendingStartGraceMilliseconds = 60;
 
-/** What the executor works with. */
+/** Dependencies of the executor. */
 type ExecutorParts = {
 	readonly leaseMilliseconds: number;
 	readonly orders: TargetOrders;
@@ -37,71 +37,71 @@
 	readonly journal: Journal;
 };
 
-/** Chooses the target for a run, and reports each run's outcome. */
+/** Chooses a target for each run, starts and stops runs, and reports their outcomes. */
 export class Executor implements Disposable {
 	readonly #sessions: TargetSessions;
-	readonly #report = new Emitter<ExecutionReport>();
-	readonly #change = new Emitter<void>();
-	readonly #compareClocks = new Emitter<UncountedTime>();
+	readonly #reported = new Emitter<ExecutionReport>();
+	readonly #changed = new Emitter<void>();
+	readonly #clocksCompared = new Emitter<UncountedTime>();
 
 	constructor(private readonly parts: ExecutorParts) {
 		this.#sessions = new TargetSessions({
 			...parts,
 			listener: {
 				onDidEndRun: (session, run, outcome) => {
-					this.#ended(session, run, outcome);
+					this.#handleRunEnd(session, run, outcome);
 				},
 				onDidReport: session => {
 					this.#stopOverdue(session);
 				},
 				onDidCompareClocks: uncounted => {
-					this.#compareClocks.fire(uncounted);
+					this.#clocksCompared.fire(uncounted);
 				},
 				onDidChange: () => {
-					this.#change.fire();
+					this.#changed.fire();
 				},
 			},
 		});
 	}
 
-	/** Fires with each outcome, once a run. */
+	/** Fires once for each run, with its outcome. */
 	get onDidReport() {
-		return this.#report.event;
+		return this.#reported.event;
 	}
 
-	/** Fires when a former owner's run goes on under this entry. */
+	/** Fires when a run is adopted from a former owner. */
 	get onDidAdopt() {
 		return this.#sessions.onDidAdopt;
 	}
 
-	/** Fires for each run before its target is given up; one that is stopped then isn't handed over. */
+	/** Fires for each run before its target is released; a run that a listener stops isn't handed over. */
 	get onWillRelease() {
 		return this.#sessions.onWillRelease;
 	}
 
-	/** Fires when there may be more room than before. */
+	/** Fires when free capacity may have grown. */
 	get onDidChangeFreeCapacity() {
-		return this.#change.event;
+		return this.#changed.event;
 	}
 
-	/** Fires with each report of a target; a suspended machine learns from it that it stood still. */
+	/** Fires with the time by which a target's clock advanced more than this entry's, which shows a suspension of this entry. */
 	get onDidCompareClocks() {
-		return this.#compareClocks.event;
+		return this.#clocksCompared.event;
 	}
 
 	get ownedTargets(): number {
 		return this.#sessions.size;
 	}
 
-	/** The room of each target that takes any task now; one that is to be probed is left to this entry's own jobs. */
+	/** The free capacity of each target that accepts any task; targets to probe are left to this entry's own jobs. */
 	get freeCapacity(): readonly FreeCapacity[] {
 		const now = this.parts.clock.now();
 		return [...this.#sessions]
 			.filter(session => session.isOpen && ['fit', 'slow'].includes(this.parts.health.condition(session.target.id, now)))
-			.map(session => ({service: session.target.service, labels: session.target.labels, room: session.room}));
+			.map(session => ({service: session.target.service, labels: session.target.labels, room: session.freeCapacity}));
 	}
 
-	/** The entries whose tasks run here. */
+	/** The entries that requested the current runs, once for each run. */
 	* requesters(): Iterable<MemberId> {
 		for (const session of this.#sessions) {
 			for (const {requester} of session.runs) {
@@ -110,29 +110,29 @@
 		}
 	}
 
-	/** Opens sessions for targets that came, and updates the others; those that went are dropped with their runs' lease. */
+	/** Opens sessions for new targets, updates existing ones, and abandons those of targets that are no longer owned. */
 	assign(owned: ReadonlyMap<InstanceId, OwnedTarget>): void {
 		this.#sessions.assign(owned);
 		this.parts.health.retain(new Set(owned.keys()));
-		this.#change.fire();
+		this.#changed.fire();
 	}
 
-	/** Gives up targets so that the next owner can go on with what runs there; returns what it has to know. */
+	/** Closes the sessions of targets and returns their runs for the next owner. */
 	async release(ids: ReadonlySet<InstanceId>): Promise<readonly Handover[]> {
 		const leaving = this.#sessions.prepareRelease(ids);
 		if (leaving.some(session => session.hasPendingStarts)) {
-			await wait(this.parts.clock, pendingStartMilliseconds);
+			await wait(this.parts.clock, pendingStartGraceMilliseconds);
 		}
 
 		return leaving.map(session => this.#sessions.release(session));
 	}
 
-	/** Keeps a former owner's word until the target is this entry's. */
+	/** Adopts the runs of a handover, now or once the target is owned. */
 	receiveHandover(handover: Handover): void {
-		this.#sessions.expect(handover);
+		this.#sessions.receiveHandover(handover);
 	}
 
-	/** Whether any attempt of a task runs here, or may run. */
+	/** Whether any attempt of a task may be running. */
 	isRunning(task: TaskId): boolean {
 		for (const session of this.#sessions) {
 			if (session.hasRunOf(task)) {
@@ -143,7 +143,7 @@
 		return false;
 	}
 
-	/** Starts a run on the fullest target that has room for it; returns the target, or nothing where none has room. */
+	/** Starts a run and returns its target; undefined if no target is eligible. */
 	start(request: RunRequest, requester: MemberId): InstanceId | undefined {
 		const session = chooseTarget(this.#sessions, request, {...this.parts, now: this.parts.clock.now()});
 		if (session === undefined) {
@@ -157,18 +157,25 @@
 		}
 
 		journal.record('runStarted', {
-			task: request.task, attempt: request.attempt, target: target.id, fence: session.fence, roomCpuMillis: session.room.cpuMillis, cpuMillis: request.need.cpuMillis, requester,
+			task: request.task, attempt: request.attempt, target: target.id, fence: session.fence, roomCpuMillis: session.freeCapacity.cpuMillis, cpuMillis: request.need.cpuMillis, requester,
 		});
 		session.start({
-			request, requester, slowdown: slowdownOf(request.place, target.labels), state: 'starting', startedAt: clock.now(), confirmedAtStep: undefined, stopConfirmedAtStep: undefined, stopCause: undefined,
+			request,
+			requester,
+			slowdown: slowdownOf(request.place, target.labels),
+			state: 'starting',
+			startedAt: clock.now(),
+			confirmedAtStep: undefined,
+			stopConfirmedAtStep: undefined,
+			stopCause: undefined,
 		});
 		return target.id;
 	}
 
-	/** Asks all targets what runs there, and what time it is by their clocks. */
+	/** Requests a report with runs and clock from all targets. */
 	pollTargets(): void {
 		for (const session of this.#sessions) {
-			session.look();
+			session.poll();
 		}
 	}
 
@@ -178,7 +185,7 @@
 		}
 	}
 
-	/** Stops all runs that an entry asked for: nobody else may start them while they go on. */
+	/** Stops all runs that an entry requested, since their tasks can't start elsewhere before. */
 	stopRunsOf(requester: MemberId, cause: string): void {
 		for (const session of this.#sessions) {
 			for (const run of session.runs) {
@@ -193,7 +200,7 @@
 		this.#sessions.dispose();
 	}
 
-	/** A target that works slowly or not at all would hold its tasks to their jobs' end: they're better begun elsewhere. */
+	/** Stops the overdue runs of a slow or stuck target, so that their tasks can start elsewhere. */
 	#stopOverdue(session: TargetSession): void {
 		const [first, ...others] = session.findOverdue();
 		if (first === undefined) {
@@ -211,23 +218,23 @@
 		}
 	}
 
-	#ended(session: TargetSession, run: Run, outcome: RunOutcome): void {
+	#handleRunEnd(session: TargetSession, run: Run, outcome: RunOutcome): void {
 		const {request, requester} = run;
-		const judged = this.#judge(session, run, outcome);
+		const reportedOutcome = this.#reportHealth(session, run, outcome);
 		this.parts.journal.record('runEnded', {
 			task: request.task,
 			attempt: request.attempt,
 			target: session.target.id,
-			outcome: judged.kind,
-			cause: 'cause' in judged ? judged.cause : undefined,
+			outcome: reportedOutcome.kind,
+			cause: 'cause' in reportedOutcome ? reportedOutcome.cause : undefined,
 			ranMilliseconds: Math.round(this.parts.clock.now() - run.startedAt),
 		});
-		this.#fire(requester, request, judged);
-		this.#change.fire();
+		this.#fireReport(requester, request, reportedOutcome);
+		this.#changed.fire();
 	}
 
-	/** Feeds the target's health with the end, and says whether the target is to blame for a failure. */
-	#judge(session: TargetSession, run: Run, outcome: RunOutcome): RunOutcome {
+	/** Reports the end to the target's health; returns the outcome, with `isTargetSuspect` set for a failure on an ejected target. */
+	#reportHealth(session: TargetSession, run: Run, outcome: RunOutcome): RunOutcome {
 		const {health, clock} = this.parts;
 		const {id} = session.target;
 		const now = clock.now();
@@ -253,8 +260,8 @@
 		return outcome;
 	}
 
-	#fire(requester: MemberId, request: RunRequest, outcome: RunOutcome): void {
-		this.#report.fire({
+	#fireReport(requester: MemberId, request: RunRequest, outcome: RunOutcome): void {
+		this.#reported.fire({
 			requester, task: request.task, attempt: request.attempt, outcome,
 		});
 	}
--- a/src/features/execution/find-overdue-runs.ts
+++ b/src/features/execution/find-overdue-runs.ts
@@ -1,30 +1,30 @@
-/** Which runs take much longer than they should. */
+/** Detection of runs that take much longer than expected. */
 import type {Run} from './run.js';
 
-/** A run over so many times what it's expected to take makes its target suspect: few on sound targets take as long. */
-const suspectFactor = 2.2;
-/** A single run that is over by so much is put down to its target: hardly any on a sound one takes as long. */
-const overdueFactor = 3;
-/** So many suspect runs at a time are put down to their target: it's unlikely that all of them are just long. */
-const overdueToBlame = 2;
-/** Added to the expected time, so that the way to the target and back isn't taken for slowness of very short tasks. */
+/** A run that takes more than this multiple of its expected duration makes its target suspect. */
+const suspectDurationFactor = 2.2;
+/** A run that takes more than this multiple of its expected duration is attributed to its target. */
+const overdueDurationFactor = 3;
+/** From this number on, suspect runs on one target are attributed to the target. */
+const minSuspectsForOverdue = 2;
+/** Added to the expected duration, so that network latency doesn't make very short tasks overdue. */
 const overdueSlackMilliseconds = 20;
 
-/** What a report of a target says of its runs at the time when it came. */
+/** Overdue runs at the time of a report. */
 type Findings = {
-	/** Runs that are over their expected time by far: any of them may just be long. */
+	/** Runs that take much longer than expected; any of them may just be long. */
 	readonly suspects: readonly Run[];
-	/** Runs that are put down to their target: several at a time, or one that is over by very far. */
+	/** Runs whose duration is attributed to the target. */
 	readonly overdue: readonly Run[];
 };
 
-/** Only what was running at the time of the report counts, and only by how long it had run then. */
+/** Returns the runs that were overdue at the time of a report, which is monotonic. */
 export function findOverdueRuns(runs: Iterable<Run>, reportedAt: number): Findings {
-	const suspects = [...runs].filter(run => run.state === 'running' && isOver(run, reportedAt, suspectFactor));
-	const overdue = suspects.length >= overdueToBlame ? suspects : suspects.filter(run => isOver(run, reportedAt, overdueFactor));
+	const suspects = [...runs].filter(run => run.state === 'running' && exceeds(run, reportedAt, suspectDurationFactor));
+	const overdue = suspects.length >= minSuspectsForOverdue ? suspects : suspects.filter(run => exceeds(run, reportedAt, overdueDurationFactor));
 	return {suspects, overdue};
 }
 
-function isOver(run: Run, reportedAt: number, factor: number): boolean {
+function exceeds(run: Run, reportedAt: number, factor: number): boolean {
 	return reportedAt - run.startedAt > (factor * run.slowdown * run.request.expectedMilliseconds) + overdueSlackMilliseconds;
 }
--- a/src/features/execution/free-capacity.ts
+++ b/src/features/execution/free-capacity.ts
@@ -1,8 +1,8 @@
-/** Free room on one target. */
+/** Free capacity of one target. */
 import type {Resources} from '../../base/resources.js';
 import type {ServiceName} from '../../base/service-name.js';
 
-/** What one target of a service could take now. */
+/** The resources that one target of a service has free. */
 export type FreeCapacity = {
 	readonly service: ServiceName;
 	readonly labels: readonly string[];
--- a/src/features/execution/is-near-data.ts
+++ b/src/features/execution/is-near-data.ts
@@ -1,7 +1,7 @@
-/** Whether a target is where a task's data is. */
+/** Proximity of a target to a task's data. */
 import type {PlacementConstraints} from './placement-constraints.js';
 
-/** By the target's labels; without data to be near to, every target is. */
+/** Whether a target with these labels is near the task's data; always true without `nearLabel`. */
 export function isNearData({nearLabel}: PlacementConstraints, labels: readonly string[]): boolean {
 	return nearLabel === undefined || labels.includes(nearLabel);
 }
--- a/src/features/execution/lease-schedule.ts
+++ b/src/features/execution/lease-schedule.ts
@@ -1,68 +1,67 @@
-/** The lease of everything that runs on one target. */
+/** The lease of the runs on one target. */
 import type {TargetTime} from '../../base/target-time.js';
 import type {UncountedTime} from '../../runtime/uncounted-time.js';
 
-/** A target's steady clock may be this much slower than ours, by the platform's own statement. */
+/** Maximum rate by which a target's clock may be slower than ours, as specified by the platform. */
 const clockDrift = 0.02;
-/** For the time that an order travels and is handled. */
-const travelMilliseconds = 60;
-/** Of a pause the renewal under way and a look may each show a part. */
-const comparedReadings = 4;
+/** Allowance for the delivery and handling of an order. */
+const transitMilliseconds = 60;
+/** Number of answers to compare: answers that were delayed by a pause show only a part of it. */
+const maxClockOffsets = 4;
 
 /**
- * Converts between the target's clock and ours. The target's time is taken from its latest answer, so that the estimate is
- * late by the answer's travel and a lease ends rather earlier than asked for; the time when everything has certainly ended
- * is reckoned from the sending of the last order that renewed the lease.
+ * Converts between the target's clock and ours. The estimate of the target's clock lags by the delay of its latest answer, so
+ * that a lease ends early rather than late. The latest end is computed from when the last renewing order was sent.
  */
 export class LeaseSchedule {
 	#clock: TargetTime | undefined;
 	#clockReadAt = 0;
-	/** By how much the target's clock was ahead of ours at its latest answers. */
-	#readings: ReadonlyArray<{readonly ahead: number; readonly at: number}> = [];
-	#certainEnd = 0;
+	/** Target clock minus ours at the latest answers, in milliseconds. */
+	#clockOffsets: ReadonlyArray<{readonly offset: number; readonly at: number}> = [];
+	#latestEnd = 0;
 
 	constructor(private readonly leaseMilliseconds: number) {}
 
 	/**
-	 * By how much the target's clock has gone on more than ours since one of its latest answers; it shows a suspension that ours
-	 * doesn't count. An answer that had waited meanwhile shows a part of it only.
+	 * Returns by how much the target's clock advanced more than ours since one of its latest answers: the length of a suspension
+	 * that our clock doesn't count. Undefined without earlier answers.
 	 */
-	uncounted(clock: TargetTime, receivedAt: number): UncountedTime | undefined {
-		const ahead = clock - receivedAt;
-		const [earliest] = this.#readings.toSorted((left, right) => left.ahead - right.ahead);
-		return earliest === undefined ? undefined : {milliseconds: ahead - earliest.ahead, since: earliest.at};
+	detectSuspension(clock: TargetTime, receivedAt: number): UncountedTime | undefined {
+		const offset = clock - receivedAt;
+		const [smallest] = this.#clockOffsets.toSorted((left, right) => left.offset - right.offset);
+		return smallest === undefined ? undefined : {milliseconds: offset - smallest.offset, since: smallest.at};
 	}
 
-	/** The target started again, with another clock. */
+	/** Discards the clock of a former incarnation. */
 	restart(): void {
 		this.#clock = undefined;
-		this.#readings = [];
+		this.#clockOffsets = [];
 	}
 
-	/** Takes the clock of an answer that was received at a monotonic time. */
-	read(clock: TargetTime, receivedAt: number): void {
+	/** Records the clock of an answer that was received at a monotonic time. */
+	recordClock(clock: TargetTime, receivedAt: number): void {
 		this.#clock = clock;
 		this.#clockReadAt = receivedAt;
-		this.#readings = [...this.#readings.slice(1 - comparedReadings), {ahead: clock - receivedAt, at: receivedAt}];
+		this.#clockOffsets = [...this.#clockOffsets.slice(1 - maxClockOffsets), {offset: clock - receivedAt, at: receivedAt}];
 	}
 
-	/** The time until which an order that is sent now renews the lease; nothing before the first answer. */
-	renewal(now: number): TargetTime | undefined {
+	/** Records a renewal, and returns the lease's end by the target's clock; undefined before the first answer. */
+	renewUntil(now: number): TargetTime | undefined {
 		if (this.#clock === undefined) {
 			return undefined;
 		}
 
-		this.noteRenewal(now);
+		this.recordRenewal(now);
 		return Math.floor(this.#clock + (now - this.#clockReadAt) + this.leaseMilliseconds) as TargetTime;
 	}
 
-	/** The lease may have been renewed at a monotonic time, by this owner or by a former one. */
-	noteRenewal(at: number): void {
-		this.#certainEnd = Math.max(this.#certainEnd, at + (this.leaseMilliseconds * (1 + clockDrift)) + travelMilliseconds);
+	/** Records that the lease may have been renewed at a monotonic time, by this owner or by a former one. */
+	recordRenewal(at: number): void {
+		this.#latestEnd = Math.max(this.#latestEnd, at + (this.leaseMilliseconds * (1 + clockDrift)) + transitMilliseconds);
 	}
 
-	/** When whatever ran there has ended, if nobody else renews it; monotonic. */
-	get certainEnd(): number {
-		return this.#certainEnd;
+	/** The time by which all runs have ended unless another owner renews the lease; monotonic. */
+	get latestEnd(): number {
+		return this.#latestEnd;
 	}
 }
--- a/src/features/execution/loss-history.ts
+++ b/src/features/execution/loss-history.ts
@@ -1,4 +1,4 @@
-/** Which tasks were lost with their targets, as far as any entry has told. */
+/** Tasks that were lost with their targets, as reported by all entries. */
 import type {Clock} from '../../base/clock.js';
 import {Emitter} from '../../base/emitter.js';
 import type {Incarnation} from '../../base/incarnation.js';
@@ -7,76 +7,74 @@
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {TargetLoss} from './target-loss.js';
 
-/** Crashes under a task after which it's given up: its own doing, since it had little company the second time. */
-const crashesToGiveUp = 2;
-/** Losses of any kind after which a task isn't started again until it's known what became of the targets. */
-const lossesToSuspend = 2;
-/** How long a loss counts of which it's not even known whether the task had begun: until its target is back. */
-const unsureMilliseconds = 5000;
-/** Longer than callers go on submitting a job again. */
-const keptMilliseconds = 30_000;
-/** A mass outage of the largest installation loses so many tasks at once. */
-const keptTasks = 5000;
+/** Number of targets that may crash under a task before it is given up. */
+const maxCrashes = 2;
+/** Number of losses of any kind after which a task isn't started until the targets' state is known. */
+const maxLosses = 2;
+/** How long a loss counts if the task's start was never confirmed. */
+const unconfirmedRetentionMilliseconds = 5000;
+/** How long losses are kept; longer than callers resubmit a job. */
+const retentionMilliseconds = 30_000;
+/** Maximum number of lost tasks that are kept; covers an outage of the largest supported installation. */
+const maxTasks = 5000;
 
 /**
  * - `sound`: never lost.
- * - `suspect`: lost with a target; it had better run with little beside it.
- * - `suspended`: lost so often that it isn't started again before it's known why.
- * - `hopeless`: it crashes its targets.
+ * - `suspect`: lost with a target; preferably started beside few other runs.
+ * - `suspended`: lost repeatedly; not started until the cause is known.
+ * - `hopeless`: crashes its targets; not started again.
  */
 type TaskCondition = 'sound' | 'suspect' | 'suspended' | 'hopeless';
 
 type Loss = {readonly target: InstanceId; readonly incarnation: Incarnation | undefined; readonly at: number; kind: 'silent' | 'crash' | 'unsure'};
-const lossKinds = {silent: 'silent', down: 'crash', unsure: 'unsure'} as const;
+const lossKindByStatus = {silent: 'silent', down: 'crash', unsure: 'unsure'} as const;
 type LostTask = {readonly losses: Loss[]; lostAt: number};
 
 /**
- * A task that crashes whatever starts it is begun again elsewhere each time, also by another entry when its caller submits it
- * again: one such job takes down a target after the other with all that runs there. So every loss is told to all entries, and a
- * task under which two targets have crashed isn't started any more. A task that was sent to a target that was down already isn't
- * to blame: only those count of which the target had said that they were started. That a silent target has crashed, and wasn't
- * only cut off, shows some seconds later, when it reports as another life.
+ * Prevents a task that crashes its target from being retried on one target after another. Losses are shared among all entries,
+ * since a resubmitted job may reach another entry. Only crashes of targets that had confirmed the start of the task count
+ * against it. Whether a silent target has crashed or was unreachable is known once it answers with its incarnation.
  */
 export class LossHistory {
 	readonly #tasks = new Map<TaskId, LostTask>();
 	readonly #recorded = new Emitter<TargetLoss>();
 	readonly #blockedTask = new Emitter<TaskId>();
-	/** When any task was lost last; monotonic. */
+	/** Time of the latest loss of any task; monotonic. */
 	#lostAt = Number.NEGATIVE_INFINITY;
 
 	constructor(private readonly clock: Clock, private readonly journal: Journal) {}
 
-	/** Fires with what this entry has found out itself, for the others. */
+	/** Fires with each report of this entry, to be sent to the others. */
 	get onDidRecord() {
 		return this.#recorded.event;
 	}
 
-	/** Fires when a task may not be started any more, or not for now. */
+	/** Fires when a task becomes suspended or hopeless. */
 	get onDidBlockTask() {
 		return this.#blockedTask.event;
 	}
 
-	/** Whether all tasks are sound: most of the time, and then nobody needs to ask for each. */
+	/** Whether there are no recent losses, so that the condition of all tasks is `sound`. */
 	get isEmpty(): boolean {
-		return this.clock.now() - this.#lostAt > keptMilliseconds;
+		return this.clock.now() - this.#lostAt > retentionMilliseconds;
 	}
 
 	conditionOf(task: TaskId): TaskCondition {
 		const lost = this.#tasks.get(task);
 		const now = this.clock.now();
-		const losses = lost?.losses.filter(({kind, at}) => now - at <= (kind === 'unsure' ? unsureMilliseconds : keptMilliseconds)) ?? [];
+		const losses = lost?.losses.filter(({kind, at}) => now - at <= (kind === 'unsure' ? unconfirmedRetentionMilliseconds : retentionMilliseconds)) ?? [];
 		if (losses.length === 0) {
 			return 'sound';
 		}
 
-		if (losses.filter(({kind}) => kind === 'crash').length >= crashesToGiveUp) {
+		if (losses.filter(({kind}) => kind === 'crash').length >= maxCrashes) {
 			return 'hopeless';
 		}
 
-		return losses.length >= lossesToSuspend ? 'suspended' : 'suspect';
+		return losses.length >= maxLosses ? 'suspended' : 'suspect';
 	}
 
-	/** Takes that a target of this entry was lost with some tasks. */
+	/** Records the loss of one of this entry's targets. Ignored without tasks. */
 	record(loss: TargetLoss): void {
 		if (loss.tasks.length > 0) {
 			this.apply(loss);
@@ -84,26 +82,26 @@
 		}
 	}
 
-	/** A target of this entry answers, after it was silent or for the first time: it shows what became of it meanwhile. */
+	/** Records that one of this entry's targets answers, for the first time or again, which resolves its earlier losses. */
 	recordAnswer(target: InstanceId, incarnation: Incarnation | undefined): void {
-		const open = this.#openLossAt(target);
-		if (open !== undefined) {
-			// An owner that never heard of the target before it lost it can't tell one life from the next.
-			const isNextLife = open.incarnation !== undefined && open.incarnation !== incarnation;
+		const unresolved = this.#findUnresolvedLoss(target);
+		if (unresolved !== undefined) {
+			// Without the incarnation at the loss, a restart can't be detected.
+			const hasRestarted = unresolved.incarnation !== undefined && unresolved.incarnation !== incarnation;
 			const loss: TargetLoss = {
-				target, incarnation, status: isNextLife ? 'down' : 'back', tasks: [],
+				target, incarnation, status: hasRestarted ? 'down' : 'back', tasks: [],
 			};
 			this.apply(loss);
 			this.#recorded.fire(loss);
 		}
 	}
 
-	/** Takes what an entry has found out. */
+	/** Applies a report of this or another entry. */
 	apply({target, incarnation, status, tasks}: TargetLoss): void {
 		const changed = new Set<TaskId>(tasks);
 		if (status === 'down' || status === 'back') {
 			for (const [task, lost] of this.#tasks) {
-				if (settle(lost, target, status)) {
+				if (resolveLosses(lost, target, status)) {
 					changed.add(task);
 				}
 			}
@@ -111,16 +109,16 @@
 
 		if (status !== 'back') {
 			for (const task of tasks) {
-				this.#lose(task, {
-					target, incarnation, at: this.clock.now(), kind: lossKinds[status],
+				this.#addLoss(task, {
+					target, incarnation, at: this.clock.now(), kind: lossKindByStatus[status],
 				});
 			}
 		}
 
-		this.#tell(changed);
+		this.#reportBlocked(changed);
 	}
 
-	#tell(changed: ReadonlySet<TaskId>): void {
+	#reportBlocked(changed: ReadonlySet<TaskId>): void {
 		for (const task of changed) {
 			const condition = this.conditionOf(task);
 			if (condition === 'hopeless' || condition === 'suspended') {
@@ -130,21 +128,21 @@
 		}
 	}
 
-	#lose(task: TaskId, loss: Loss): void {
+	#addLoss(task: TaskId, loss: Loss): void {
 		const lost = this.#tasks.get(task) ?? {losses: [], lostAt: 0};
 		lost.losses.push(loss);
 		lost.lostAt = this.clock.now();
 		this.#lostAt = lost.lostAt;
-		// Insertion order is age.
+		// Keeps the map ordered by the time of the latest loss.
 		this.#tasks.delete(task);
 		this.#tasks.set(task, lost);
-		this.#forgetOld();
+		this.#removeExpired();
 	}
 
-	#forgetOld(): void {
+	#removeExpired(): void {
 		const now = this.clock.now();
 		for (const [task, {lostAt}] of this.#tasks) {
-			if (this.#tasks.size <= keptTasks && now - lostAt <= keptMilliseconds) {
+			if (this.#tasks.size <= maxTasks && now - lostAt <= retentionMilliseconds) {
 				return;
 			}
 
@@ -152,11 +150,11 @@
 		}
 	}
 
-	#openLossAt(target: InstanceId): Loss | undefined {
+	#findUnresolvedLoss(target: InstanceId): Loss | undefined {
 		for (const {losses} of this.#tasks.values()) {
-			const open = losses.find(loss => loss.target === target && loss.kind !== 'crash');
-			if (open !== undefined) {
-				return open;
+			const unresolved = losses.find(loss => loss.target === target && loss.kind !== 'crash');
+			if (unresolved !== undefined) {
+				return unresolved;
 			}
 		}
 
@@ -164,10 +162,10 @@
 	}
 }
 
-/** A silent target has shown what became of it; whether that says something of the task. */
-function settle({losses}: LostTask, target: InstanceId, status: 'down' | 'back'): boolean {
-	const open = losses.filter(loss => loss.target === target && loss.kind !== 'crash');
-	for (const loss of open) {
+/** Removes a task's unresolved losses with a target, or turns them into crashes; returns whether there were any. */
+function resolveLosses({losses}: LostTask, target: InstanceId, status: 'down' | 'back'): boolean {
+	const unresolved = losses.filter(loss => loss.target === target && loss.kind !== 'crash');
+	for (const loss of unresolved) {
 		if (status === 'back') {
 			losses.splice(losses.indexOf(loss), 1);
 		} else if (loss.kind === 'silent') {
@@ -175,5 +173,5 @@
 		}
 	}
 
-	return open.length > 0;
+	return unresolved.length > 0;
 }
--- a/src/features/execution/outcome-of-end.ts
+++ b/src/features/execution/outcome-of-end.ts
@@ -1,12 +1,12 @@
-/** What a listed end means for the run's task. */
+/** Conversion of a reported end to an outcome. */
 import type {RunEnd} from '../targets/run-end.js';
 import type {Run} from './run.js';
 import type {RunOutcome} from './run-outcome.js';
 
-/** The outcome of a run whose end a target lists now. */
+/** Returns the outcome of a run whose end was reported at a monotonic time. */
 export function outcomeOfEnd(run: Run, {how}: RunEnd, target: string, now: number): RunOutcome {
 	if (how === 'done') {
-		// What is learned from it says how long such tasks take near their data.
+		// Durations are recorded as near the task's data.
 		return {kind: 'done', target, ranMilliseconds: (now - run.startedAt) / run.slowdown};
 	}
 
--- a/src/features/execution/placement-constraints.ts
+++ b/src/features/execution/placement-constraints.ts
@@ -1,13 +1,13 @@
-/** Where a task may run, and where it had better. */
+/** Constraints and preferences for the target of a task. */
 
-/** The same for all tasks of a job. */
+/** Shared by all tasks of a job. */
 export type PlacementConstraints = {
 	/** A label that the target must have. */
 	readonly label: string | undefined;
 	/** The label of the targets near the task's data. */
 	readonly nearLabel: string | undefined;
-	/** So many times as long it takes on any other target. */
+	/** Factor by which the task takes longer on any other target. */
 	readonly farFactor: number;
-	/** So many tasks of the job at most run on one target at a time. */
+	/** Maximum number of the job's tasks that run on one target at a time. */
 	readonly maxTasksPerTarget: number | undefined;
 };
--- a/src/features/execution/renewal-plan.ts
+++ b/src/features/execution/renewal-plan.ts
@@ -1,96 +1,96 @@
-/** What the next renewal of a target's lease asks for. */
+/** The parameters of the next renewal of a target's lease. */
 import type {RunEnd} from '../targets/run-end.js';
 import type {LeaseSchedule} from './lease-schedule.js';
 import type {RunTable} from './run-table.js';
 import type {UnknownRuns} from './unknown-runs.js';
 
 /**
- * How long a target waits for an end before it answers a renewal. A lost renewal hides the target's ends for this and the
- * time limit, and a run that is overdue is known to be so no later than this; a shorter wait sends renewals that tell nothing.
+ * How long a target with runs waits for an end before it answers a renewal. Bounds the delay of an end after a lost renewal,
+ * and of the detection of overdue runs.
  */
 const busyWaitMilliseconds = 250;
-/** Without runs there's no lease to renew; the wait stays under the lease of a start that comes meanwhile. */
+/** The same without runs; shorter than the lease of a run that starts meanwhile. */
 const idleWaitMilliseconds = 600;
-/** So many renewals in a row without an answer, and the target gets no new tasks. */
-const unansweredToSuspend = 2;
-/** While there are runs that this owner doesn't know, their ends are looked for often. */
-const strangerWaitMilliseconds = 50;
+/** Number of consecutive unanswered renewals after which the target gets no new tasks. */
+const maxUnanswered = 2;
+/** The same while there are unknown runs; short, because nothing can start until they have ended. */
+const unknownRunsWaitMilliseconds = 50;
 
-/** Knows how the last renewals went, and decides what the next one may renew and how long it may wait. */
+/** Tracks the results of the renewals, and determines the acknowledgement, lease and wait of the next one. */
 export class RenewalPlan {
-	/** Whether the target has told what runs there. */
-	isLooked = false;
+	/** Whether the target has reported since the session began. */
+	hasReport = false;
 	#acknowledged = 0;
 	#unanswered = 0;
 
-	constructor(private readonly lease: LeaseSchedule, private readonly runs: RunTable, private readonly strangers: UnknownRuns) {}
+	constructor(private readonly lease: LeaseSchedule, private readonly runs: RunTable, private readonly unknownRuns: UnknownRuns) {}
 
 	get isReachable(): boolean {
-		return this.#unanswered < unansweredToSuspend;
+		return this.#unanswered < maxUnanswered;
 	}
 
-	/** The number of the last end that was processed, in the life that reports. */
+	/** The number of the last processed end of the reporting incarnation. */
 	get acknowledged(): number {
 		return this.#acknowledged;
 	}
 
-	/** These ends have been processed. */
-	processed(ends: readonly RunEnd[]): void {
+	/** Marks ends as processed. */
+	acknowledge(ends: readonly RunEnd[]): void {
 		this.#acknowledged = Math.max(this.#acknowledged, ...ends.map(({number}) => number));
 	}
 
-	/** The target started again, and numbers its ends from 1. */
+	/** Resets the acknowledgement after a restart of the target, which numbers its ends from 1. */
 	restart(): void {
 		this.#acknowledged = 0;
 	}
 
-	/** Counts a renewal without an answer; true when it's the one after which the target counts as silent. */
-	miss(): boolean {
+	/** Counts an unanswered renewal; returns whether the target becomes unreachable with it. */
+	recordMissed(): boolean {
 		this.#unanswered += 1;
-		return this.#unanswered === unansweredToSuspend;
+		return this.#unanswered === maxUnanswered;
 	}
 
-	/** An answer came; returns how many renewals had none before. */
-	answer(): number {
+	/** Resets the count of unanswered renewals, and returns it. */
+	recordAnswered(): number {
 		const unanswered = this.#unanswered;
 		this.#unanswered = 0;
 		return unanswered;
 	}
 
 	next(now: number) {
-		return {acknowledged: this.#acknowledgementWanted(), leaseUntil: this.#leaseWanted(now), waitMilliseconds: this.#waitWanted()};
+		return {acknowledged: this.#acknowledgementToSend(), leaseUntil: this.#leaseToRequest(now), waitMilliseconds: this.#waitToRequest()};
 	}
 
 	/**
-	 * None before the target has reported, or after a renewal without an answer: the target may have started again. Its next
-	 * life would forget ends up to a former life's number that nobody has seen, and their tasks would run a second time. No
-	 * target goes down without breaking the renewal that it holds, and an end that isn't acknowledged is just listed again.
+	 * 0 before the first report and after an unanswered renewal, because the target may have restarted: a former incarnation's
+	 * number would make it discard ends that were never processed, and their tasks would run twice. Ends that aren't
+	 * acknowledged are listed again.
 	 */
-	#acknowledgementWanted(): number {
-		return this.isLooked && this.#unanswered === 0 ? this.#acknowledged : 0;
+	#acknowledgementToSend(): number {
+		return this.hasReport && this.#unanswered === 0 ? this.#acknowledged : 0;
 	}
 
-	#waitWanted(): number {
-		if (!this.isLooked || this.#unanswered > 0) {
+	#waitToRequest(): number {
+		if (!this.hasReport || this.#unanswered > 0) {
 			return 0;
 		}
 
-		if (this.strangers.areThere) {
-			return strangerWaitMilliseconds;
+		if (this.unknownRuns.hasAny) {
+			return unknownRunsWaitMilliseconds;
 		}
 
 		return this.runs.size > 0 ? busyWaitMilliseconds : idleWaitMilliseconds;
 	}
 
-	/** Nothing is renewed while something may run there that nobody asked for, or whose stop isn't confirmed. */
-	#leaseWanted(now: number) {
-		// A renewal without an answer may have been carried out: with each further one it would be later that the runs have
-		// certainly ended, and their jobs would never be told.
-		if (!this.isLooked || this.strangers.areThere || !this.isReachable) {
+	/** Undefined, to renew nothing, while there may be unknown runs or runs whose stop isn't confirmed. */
+	#leaseToRequest(now: number) {
+		// An unanswered renewal may have been executed: renewing an unreachable target would postpone the end of the lease,
+		// and with it the outcomes of the runs, indefinitely.
+		if (!this.hasReport || this.unknownRuns.hasAny || !this.isReachable) {
 			return undefined;
 		}
 
 		const hasOverdueStop = this.#unanswered > 0 && [...this.runs].some(run => run.state === 'stopping' && run.stopConfirmedAtStep === undefined);
-		return hasOverdueStop || this.runs.size === 0 ? undefined : this.lease.renewal(now);
+		return hasOverdueStop || this.runs.size === 0 ? undefined : this.lease.renewUntil(now);
 	}
 }
--- a/src/features/execution/renewals.ts
+++ b/src/features/execution/renewals.ts
@@ -1,4 +1,4 @@
-/** The renewals of one target's lease. */
+/** The renewal loop of one target's lease. */
 import type {CancellationToken} from '../../base/cancellation-token.js';
 import type {Clock} from '../../base/clock.js';
 import {wait} from '../../base/wait.js';
@@ -13,10 +13,10 @@
 import type {StepCounter} from './step-counter.js';
 import type {TargetReports} from './target-reports.js';
 
-/** Between renewals of a target that doesn't answer. */
+/** Interval between renewals of a target that doesn't answer. */
 const retryMilliseconds = 100;
 
-/** What the renewals work with. */
+/** Dependencies of the renewals. */
 type RenewalsParts = {
 	readonly runs: RunTable;
 	readonly orders: SessionOrders;
@@ -28,11 +28,11 @@
 	readonly clock: Clock;
 	readonly journal: Journal;
 	readonly listener: SessionListener;
-	/** The target doesn't take orders with this token or at this address any more. */
+	/** Called when the target no longer accepts orders with this token or at this address. */
 	readonly onDidFail: (failure: OrderFailure) => void;
 };
 
-/** Renews one after the other, hands on what the target reports, and gives its runs up once it has been silent for longer than their lease. */
+/** Renews the lease repeatedly, passes on the reports, and ends all runs once the target has been silent for longer than their lease. */
 export class Renewals {
 	constructor(private readonly parts: RenewalsParts, private readonly token: CancellationToken) {}
 
@@ -47,26 +47,26 @@
 			}
 
 			if (reply.kind === 'report') {
-				reports.take(reply, sentAtStep);
+				reports.process(reply, sentAtStep);
 			} else if (reply.kind === 'fenced' || reply.kind === 'replaced') {
 				onDidFail(reply);
 			} else {
-				this.#missRenewal(reply);
+				this.#handleMissedRenewal(reply);
 				await wait(clock, retryMilliseconds);
 			}
 		}
 	}
 
-	#missRenewal(failure: OrderFailure): void {
+	#handleMissedRenewal(failure: OrderFailure): void {
 		const {orders, plan, runs, lease, reports, settlement, clock, journal, listener} = this.parts;
-		if (plan.miss()) {
+		if (plan.recordMissed()) {
 			journal.record('targetSilent', {
 				target: orders.target.id, kind: failure.kind, detail: failure.detail, runs: runs.size,
 			});
 		}
 
-		if (clock.now() > lease.certainEnd) {
-			settlement.lose('silent', reports.incarnation, [...runs]);
+		if (clock.now() > lease.latestEnd) {
+			settlement.reportLost('silent', reports.incarnation, [...runs]);
 			settlement.endAll('lease passed on a target that does not answer');
 		}
 
--- a/src/features/execution/response-times.ts
+++ b/src/features/execution/response-times.ts
@@ -1,26 +1,25 @@
-/** How soon targets answer. */
+/** Response times of targets. */
 
-/** Weights of the newest sample and factor of the deviation, as TCP reckons its retransmission timeout (RFC 6298). */
+/** Smoothing weights and deviation factor of TCP's retransmission timeout (RFC 6298). */
 const meanWeight = 1 / 8;
 const deviationWeight = 1 / 4;
 const deviationFactor = 4;
-/** Below this a target that is merely busy for a moment would be taken for one that lost the order. */
-const shortestLimitMilliseconds = 40;
-/** Until there are samples, and at most: the task of a lost order waits as long. */
-const longestLimitMilliseconds = 150;
-const trustedSamples = 20;
+/** Minimum time limit, so that an order to a briefly busy target doesn't count as lost. */
+const minLimitMilliseconds = 40;
+/** Maximum time limit, also used until there are enough samples; bounds the delay of a task by a lost order. */
+const maxLimitMilliseconds = 150;
+const minSamples = 20;
 
 /**
- * Learns from answers how long it's worth to wait for one. An order that a target has lost holds its task until the limit,
- * and a short task that waits too long for it misses its objective. An entry that is slow itself, or far from its targets,
- * measures longer times and waits longer.
+ * Estimates the time limit of orders from measured response times. The limit follows the latency of this entry and its targets,
+ * and stays short enough that a task whose order was lost can still meet its objective.
  */
 export class ResponseTimes {
 	#samples = 0;
 	#mean = 0;
 	#deviation = 0;
 
-	/** Takes the time from an order to its answer. */
+	/** Records the time from an order to its answer. */
 	record(milliseconds: number): void {
 		this.#samples += 1;
 		if (this.#samples === 1) {
@@ -33,13 +32,13 @@
 		this.#mean += meanWeight * (milliseconds - this.#mean);
 	}
 
-	/** After so many milliseconds without an answer the order counts as lost. */
+	/** The time without an answer after which an order counts as lost. */
 	get limitMilliseconds(): number {
-		if (this.#samples < trustedSamples) {
-			return longestLimitMilliseconds;
+		if (this.#samples < minSamples) {
+			return maxLimitMilliseconds;
 		}
 
 		const limit = this.#mean + (deviationFactor * this.#deviation);
-		return Math.round(Math.min(longestLimitMilliseconds, Math.max(shortestLimitMilliseconds, limit)));
+		return Math.round(Math.min(maxLimitMilliseconds, Math.max(minLimitMilliseconds, limit)));
 	}
 }
--- a/src/features/execution/run-control.ts
+++ b/src/features/execution/run-control.ts
@@ -1,4 +1,4 @@
-/** The start and the stop of each run on one target. */
+/** Start and stop of the runs on one target. */
 import {match} from 'ts-pattern';
 import type {CancellationToken} from '../../base/cancellation-token.js';
 import type {Clock} from '../../base/clock.js';
@@ -15,10 +15,10 @@
 import type {StepCounter} from './step-counter.js';
 import type {TargetReports} from './target-reports.js';
 
-/** Between two tries to stop a run, whose task can't be begun elsewhere before one of them is accepted. */
+/** Interval between attempts to stop a run; its task can't start elsewhere before one is accepted. */
 const stopRetryMilliseconds = 40;
 
-/** What the control works with. */
+/** Dependencies of the run control. */
 type RunControlParts = {
 	readonly runs: RunTable;
 	readonly orders: SessionOrders;
@@ -28,21 +28,21 @@
 	readonly steps: StepCounter;
 	readonly clock: Clock;
 	readonly journal: Journal;
-	/** The target doesn't take orders with this token or at this address any more. */
+	/** Called when the target no longer accepts orders with this token or at this address. */
 	readonly onDidFail: (failure: OrderFailure) => void;
 };
 
-/** Orders starts and stops until each has its answer, or is shown by a report to be settled. Once the token is cancelled nothing is ordered. */
+/** Sends starts and stops until each is answered or settled by a report. Sends nothing once the token is cancelled. */
 export class RunControl {
 	constructor(private readonly parts: RunControlParts, private readonly token: CancellationToken) {}
 
-	/** Orders a start; the caller has checked that there's room. */
+	/** Sends a start order; the caller has checked the free capacity. */
 	start(run: Run): void {
 		this.parts.runs.add(run);
-		void this.#startRun(run);
+		void this.#sendStart(run);
 	}
 
-	/** Has a run ended; its outcome comes once it provably has. */
+	/** Stops a run; its outcome is reported once it has provably ended. */
 	stop(run: Run, cause: string): void {
 		if (run.state === 'stopping') {
 			return;
@@ -53,29 +53,29 @@
 		this.parts.journal.record('runStopped', {
 			target: this.parts.orders.target.id, task: run.request.task, attempt: run.request.attempt, cause,
 		});
-		void this.#stopLoop(run);
+		void this.#sendStop(run);
 	}
 
-	async #startRun(run: Run): Promise<void> {
-		const leaseUntil = this.parts.lease.renewal(this.parts.clock.now());
+	async #sendStart(run: Run): Promise<void> {
+		const leaseUntil = this.parts.lease.renewUntil(this.parts.clock.now());
 		if (leaseUntil === undefined) {
 			this.#refuse(run, 'targetRefused');
 			return;
 		}
 
 		const reply = await this.parts.orders.start(run.request, leaseUntil);
-		if (!this.token.isCancellationRequested && this.parts.runs.holds(run)) {
-			this.#takeStartReply(run, reply);
+		if (!this.token.isCancellationRequested && this.parts.runs.has(run)) {
+			this.#processStartReply(run, reply);
 		}
 	}
 
-	#takeStartReply(run: Run, reply: StartReply): void {
+	#processStartReply(run: Run, reply: StartReply): void {
 		match(reply)
 			.with({kind: 'started'}, () => {
 				this.#confirm(run);
 			})
 			.with({kind: 'noRoom'}, ({kind}) => {
-				// It has shrunk, and its entry in the list isn't read yet: it would be asked for each task that waits, again and again.
+				// The catalogue's record is outdated. The target gets no starts until its next report or a change of its capacity.
 				this.parts.runs.isFull = true;
 				this.#refuse(run, kind);
 			})
@@ -84,13 +84,13 @@
 			})
 			.with({kind: 'expired'}, ({clock}) => {
 				if (clock !== undefined) {
-					this.parts.reports.readClock(clock, this.parts.clock.now());
+					this.parts.reports.recordClock(clock, this.parts.clock.now());
 				}
 
 				this.#refuse(run, 'targetRefused');
 			})
 			.with({kind: 'unanswered'}, () => {
-				void this.#findUnanswered(run);
+				void this.#resolveUnansweredStart(run);
 			})
 			.with({kind: 'fenced'}, {kind: 'replaced'}, failure => {
 				this.parts.onDidFail(failure);
@@ -105,12 +105,12 @@
 	}
 
 	/**
-	 * Looks whether a start without an answer was carried out: its task goes on where it is then, and may still be in time.
-	 * If not, it may be carried out later: only a stop of the same attempt proves that it won't.
+	 * Checks whether an unanswered start was executed; if so, the run continues. Otherwise it may still be executed later, and
+	 * only an accepted stop of the same attempt rules that out.
 	 */
-	async #findUnanswered(run: Run): Promise<void> {
-		const report = await this.parts.reports.look();
-		if (this.token.isCancellationRequested || !this.parts.runs.holds(run) || run.state !== 'starting') {
+	async #resolveUnansweredStart(run: Run): Promise<void> {
+		const report = await this.parts.reports.poll();
+		if (this.token.isCancellationRequested || !this.parts.runs.has(run) || run.state !== 'starting') {
 			return;
 		}
 
@@ -123,7 +123,7 @@
 		this.stop(run, 'start without an answer');
 	}
 
-	/** The target has said that it started the run; one that is to be stopped meanwhile stays so. */
+	/** Marks a run as started by the target; a run that is being stopped keeps that state. */
 	#confirm(run: Run): void {
 		run.confirmedAtStep = this.parts.steps.next();
 		run.state = run.state === 'starting' ? 'running' : run.state;
@@ -133,12 +133,12 @@
 		this.parts.settlement.end(run, {kind: 'refused', cause});
 	}
 
-	async #stopLoop(run: Run): Promise<void> {
-		while (!this.token.isCancellationRequested && this.parts.runs.holds(run) && run.stopConfirmedAtStep === undefined) {
+	async #sendStop(run: Run): Promise<void> {
+		while (!this.token.isCancellationRequested && this.parts.runs.has(run) && run.stopConfirmedAtStep === undefined) {
 			const reply = await this.parts.orders.stop(run.request);
 			if (reply.kind === 'accepted') {
 				run.stopConfirmedAtStep = this.parts.steps.next();
-				void this.parts.reports.look();
+				void this.parts.reports.poll();
 				return;
 			}
 
--- a/src/features/execution/run-key-of.ts
+++ b/src/features/execution/run-key-of.ts
@@ -1,6 +1,6 @@
-/** Names of runs. */
+/** Keys of runs. */
 
-/** One key for each attempt of each task. */
+/** Returns a key that is unique to an attempt of a task. */
 export function runKeyOf({task, attempt}: {readonly task: string; readonly attempt: number}): string {
 	return `${task}#${attempt}`;
 }
--- a/src/features/execution/run-outcome.ts
+++ b/src/features/execution/run-outcome.ts
@@ -1,12 +1,12 @@
-/** How an attempt of a task ended. */
+/** The outcome of an attempt of a task. */
 
 /**
- * - `done`: the task ended well.
- * - `failed`: it ran and failed; `isTargetSuspect` where the target fails more than this task does elsewhere.
- * - `refused`: it wasn't started, and never will be; `outdated` where its owner has lost the entry that asked since it did.
- * - `gone`: it may have run for a while, and provably does no more.
+ * - `done`: the task succeeded.
+ * - `failed`: the task ran and failed; `isTargetSuspect` if its target is ejected because of failures.
+ * - `refused`: it wasn't started, and never will be; `outdated` if the owner lost contact with the requester after the request.
+ * - `gone`: it may have run, and provably no longer does.
  *
- * While none of these came, the attempt may still run.
+ * Until one of these is reported, the attempt may still run.
  */
 export type RunOutcome =
 	| {readonly kind: 'done'; readonly target: string; readonly ranMilliseconds: number}
--- a/src/features/execution/run-request.ts
+++ b/src/features/execution/run-request.ts
@@ -5,7 +5,7 @@
 import type {TaskId} from '../../base/task-id.js';
 import type {PlacementConstraints} from './placement-constraints.js';
 
-/** One attempt of one task. `avoid` lists targets that an earlier attempt failed on. */
+/** One attempt of one task. `excludedTargets` lists the targets on which an earlier attempt failed. */
 export type RunRequest = {
 	readonly task: TaskId;
 	readonly attempt: number;
@@ -14,11 +14,11 @@
 	readonly queue: ProfileName;
 	readonly service: ServiceName;
 	readonly place: PlacementConstraints;
-	/** It's not to be started far from its data. */
+	/** Whether the run may start only on a target near its data. */
 	readonly requiresNearData: boolean;
 	readonly excludedTargets: readonly string[];
-	/** How many tasks the job has: all of them wait for the last one. */
+	/** Number of tasks in the job. */
 	readonly jobTaskCount: number;
-	/** What the run is expected to take, in milliseconds. */
+	/** Expected duration near the task's data. */
 	readonly expectedMilliseconds: number;
 };
--- a/src/features/execution/run-settlement.ts
+++ b/src/features/execution/run-settlement.ts
@@ -1,4 +1,4 @@
-/** The outcomes of the runs on one target. */
+/** Outcomes of the runs on one target. */
 import type {Clock} from '../../base/clock.js';
 import type {Incarnation} from '../../base/incarnation.js';
 import type {TargetRecord} from '../targets/target-record.js';
@@ -8,7 +8,7 @@
 import type {Run} from './run.js';
 import type {SessionListener} from './session-listener.js';
 
-/** What the settlement works with. */
+/** Dependencies of the settlement. */
 type RunSettlementParts = {
 	readonly target: TargetRecord;
 	readonly runs: RunTable;
@@ -17,37 +17,37 @@
 	readonly listener: SessionListener;
 };
 
-/** Takes runs off their target's table and tells their outcomes, and which tasks were lost with the target. */
+/** Removes ended runs from their target's table and reports their outcomes, and the tasks that were lost with the target. */
 export class RunSettlement {
 	constructor(private readonly parts: RunSettlementParts) {}
 
-	/** A run has ended, and holds no room any more. */
+	/** Frees the capacity of a run and reports its outcome. */
 	end(run: Run, outcome: RunOutcome): void {
 		this.parts.runs.remove(run);
 		this.parts.listener.onDidEndRun(run, outcome);
 	}
 
-	/** Nothing runs there any more. */
+	/** Reports all runs as gone. */
 	endAll(cause: string): void {
 		for (const run of this.parts.runs) {
 			this.end(run, {kind: 'gone', target: this.parts.target.id, cause});
 		}
 	}
 
-	/** Ends all runs once their lease has: another owner may let them go on for its rest, and renews none that it doesn't know. */
-	endAllWithLease(cause: string): void {
+	/** Reports all runs as gone once their lease has expired; the next owner doesn't renew runs that weren't handed over. */
+	endAllAfterLease(cause: string): void {
 		const {clock} = this.parts;
-		clock.schedule(Math.max(0, this.parts.lease.certainEnd - clock.now()), () => {
+		clock.schedule(Math.max(0, this.parts.lease.latestEnd - clock.now()), () => {
 			this.endAll(cause);
 		});
 	}
 
-	/** Tells which tasks are lost with the target; one that it has never said to have started may not be to blame for its end. */
-	lose(status: 'silent' | 'down', incarnation: Incarnation | undefined, runs: readonly Run[]): void {
-		const {onDidLose} = this.parts.listener;
-		const begun = runs.filter(run => run.confirmedAtStep !== undefined);
-		const unsure = runs.filter(run => run.confirmedAtStep === undefined);
-		onDidLose(status, incarnation, begun.map(({request}) => request.task));
-		onDidLose('unsure', incarnation, unsure.map(({request}) => request.task));
+	/** Reports the tasks that were lost with the target; `unsure` for those whose start it never confirmed. */
+	reportLost(status: 'silent' | 'down', incarnation: Incarnation | undefined, runs: readonly Run[]): void {
+		const {onDidLoseTasks} = this.parts.listener;
+		const confirmed = runs.filter(run => run.confirmedAtStep !== undefined);
+		const unconfirmed = runs.filter(run => run.confirmedAtStep === undefined);
+		onDidLoseTasks(status, incarnation, confirmed.map(({request}) => request.task));
+		onDidLoseTasks('unsure', incarnation, unconfirmed.map(({request}) => request.task));
 	}
 }
--- a/src/features/execution/run-table.ts
+++ b/src/features/execution/run-table.ts
@@ -6,16 +6,16 @@
 import {runKeyOf} from './run-key-of.js';
 import type {Run} from './run.js';
 
-type RunName = {readonly task: string; readonly attempt: number};
+type RunIdentity = {readonly task: string; readonly attempt: number};
 
-/** All runs that hold room on the target, found by name and by task; what they leave is worked out once for each change. */
+/** All runs that use capacity of the target, indexed by attempt and by task. Caches the free capacity between changes. */
 export class RunTable implements Iterable<Run> {
-	/** The target has rejected a start for want of room, and has told nothing new since. */
+	/** Whether the target has rejected a start for lack of capacity since its last report. */
 	isFull = false;
 	readonly #runs = new Map<string, Run>();
-	/** How many attempts of each task are among the runs. */
-	readonly #attempts = new Map<TaskId, number>();
-	#room: Resources | undefined;
+	/** Number of runs by task. */
+	readonly #attemptCounts = new Map<TaskId, number>();
+	#freeCapacity: Resources | undefined;
 
 	constructor(private capacity: Resources) {}
 
@@ -23,65 +23,65 @@
 		return this.#runs.size;
 	}
 
-	/** What is left of the target's capacity. */
-	get room(): Resources {
-		this.#room ??= this.#roomLeft();
-		return this.#room;
+	/** The target's capacity minus the needs of its runs; negative after the capacity has shrunk. */
+	get freeCapacity(): Resources {
+		this.#freeCapacity ??= this.#computeFreeCapacity();
+		return this.#freeCapacity;
 	}
 
 	[Symbol.iterator](): Iterator<Run> {
 		return this.#runs.values();
 	}
 
-	/** Takes another capacity; what the target said of the former one doesn't hold for it. */
+	/** Sets the capacity. A changed capacity clears `isFull`. */
 	resize(capacity: Resources): void {
 		this.isFull &&= capacity.equals(this.capacity);
 		this.capacity = capacity;
-		this.#room = undefined;
+		this.#freeCapacity = undefined;
 	}
 
-	named(name: RunName): Run | undefined {
-		return this.#runs.get(runKeyOf(name));
+	get(identity: RunIdentity): Run | undefined {
+		return this.#runs.get(runKeyOf(identity));
 	}
 
-	/** Whether it's this very run that goes by its name. */
-	holds(run: Run): boolean {
-		return this.named(run.request) === run;
+	/** Whether the table contains this object, and not another run of the same attempt. */
+	has(run: Run): boolean {
+		return this.get(run.request) === run;
 	}
 
 	hasRunOf(task: TaskId): boolean {
-		return this.#attempts.has(task);
+		return this.#attemptCounts.has(task);
 	}
 
-	countOfJob(job: JobId): number {
+	countRunsOfJob(job: JobId): number {
 		return [...this.#runs.values()].filter(({request}) => jobOfTask(request.task) === job).length;
 	}
 
 	add(run: Run): void {
 		const {task} = run.request;
 		this.#runs.set(runKeyOf(run.request), run);
-		this.#attempts.set(task, (this.#attempts.get(task) ?? 0) + 1);
-		this.#room = undefined;
+		this.#attemptCounts.set(task, (this.#attemptCounts.get(task) ?? 0) + 1);
+		this.#freeCapacity = undefined;
 	}
 
 	remove(run: Run): void {
 		const {task} = run.request;
-		const others = (this.#attempts.get(task) ?? 0) - 1;
+		const others = (this.#attemptCounts.get(task) ?? 0) - 1;
 		this.#runs.delete(runKeyOf(run.request));
-		this.#room = undefined;
+		this.#freeCapacity = undefined;
 		if (others > 0) {
-			this.#attempts.set(task, others);
+			this.#attemptCounts.set(task, others);
 		} else {
-			this.#attempts.delete(task);
+			this.#attemptCounts.delete(task);
 		}
 	}
 
-	#roomLeft(): Resources {
-		let room = this.capacity;
+	#computeFreeCapacity(): Resources {
+		let freeCapacity = this.capacity;
 		for (const run of this.#runs.values()) {
-			room = room.minus(run.request.need);
+			freeCapacity = freeCapacity.minus(run.request.need);
 		}
 
-		return room;
+		return freeCapacity;
 	}
 }
--- a/src/features/execution/run.ts
+++ b/src/features/execution/run.ts
@@ -1,21 +1,22 @@
-/** A run on a target, as its owner keeps it. */
+/** The owner's state of a run on a target. */
 import type {MemberId} from '../../base/member-id.js';
 import type {RunRequest} from './run-request.js';
 
 /**
- * - `starting`: the order is under way, and its answer isn't there.
- * - `running`: the target confirmed it.
- * - `stopping`: it's to end; `stopConfirmedAtStep` is set once the target has accepted the stop.
+ * - `starting`: the start order is unanswered.
+ * - `running`: the target has confirmed the start.
+ * - `stopping`: a stop was requested; `stopConfirmedAtStep` is set once the target has accepted it.
  */
 export type Run = {
 	readonly request: RunRequest;
-	/** The entry whose job it belongs to. */
+	/** The entry that has the job. */
 	readonly requester: MemberId;
-	/** So many times as long as expected it takes on this target, being far from its data. */
+	/** Factor by which the run takes longer on this target than near its data; 1 or more. */
 	readonly slowdown: number;
 	state: 'starting' | 'running' | 'stopping';
+	/** Monotonic. */
 	startedAt: number;
-	/** The step of its session at which the target's confirmation came; none before it. */
+	/** The session's step at which the target confirmed the start. */
 	confirmedAtStep: number | undefined;
 	stopConfirmedAtStep: number | undefined;
 	stopCause: string | undefined;
--- a/src/features/execution/satisfies-constraints.ts
+++ b/src/features/execution/satisfies-constraints.ts
@@ -1,9 +1,9 @@
-/** Whether a target is of the kind that a task may run on. */
+/** Match of a target's labels against a run's constraints. */
 import {isNearData} from './is-near-data.js';
 import type {RunRequest} from './run-request.js';
 
-/** By the target's labels alone; room, health and what else runs there are looked at elsewhere. */
+/** Whether the target's labels allow the run; free capacity, health and other runs are checked elsewhere. */
 export function satisfiesConstraints({place, requiresNearData}: Pick<RunRequest, 'place' | 'requiresNearData'>, labels: readonly string[]): boolean {
-	const isLabelled = place.label === undefined || labels.includes(place.label);
-	return isLabelled && (!requiresNearData || isNearData(place, labels));
+	const hasLabel = place.label === undefined || labels.includes(place.label);
+	return hasLabel && (!requiresNearData || isNearData(place, labels));
 }
--- a/src/features/execution/session-listener.ts
+++ b/src/features/execution/session-listener.ts
@@ -1,25 +1,25 @@
-/** What a target's session tells its owner. */
+/** Events of a target's session. */
 import type {Incarnation} from '../../base/incarnation.js';
 import type {TaskId} from '../../base/task-id.js';
 import type {UncountedTime} from '../../runtime/uncounted-time.js';
 import type {Run} from './run.js';
 import type {RunOutcome} from './run-outcome.js';
 
-/** Every run gets exactly one outcome, unless it's handed over. */
+/** Every run gets exactly one outcome, unless it is handed over. */
 export type SessionListener = {
 	readonly onDidEndRun: (run: Run, outcome: RunOutcome) => void;
-	/** The target told what runs there and what has ended. */
+	/** Called after each report of the target. */
 	readonly onDidReport: () => void;
-	/** The target started again under its id: what was found out about it before doesn't hold any more. */
+	/** The target restarted under its id; what was learned about its health is void. */
 	readonly onDidRestart: () => void;
-	/** These tasks are lost with the target, which has crashed or has been silent for longer than its lease. */
-	readonly onDidLose: (status: 'silent' | 'down' | 'unsure', incarnation: Incarnation | undefined, tasks: readonly TaskId[]) => void;
-	/** The target answers for the first time, again, or in another life. */
+	/** Tasks were lost with the target, which crashed or was silent for longer than its lease. */
+	readonly onDidLoseTasks: (status: 'silent' | 'down' | 'unsure', incarnation: Incarnation | undefined, tasks: readonly TaskId[]) => void;
+	/** The target answers for the first time, again, or as another incarnation. */
 	readonly onDidAnswer: (incarnation: Incarnation | undefined) => void;
-	/** The target's clock has gone on by so much more than this entry's. */
+	/** The target's clock advanced by this much more than this entry's. */
 	readonly onDidCompareClocks: (uncounted: UncountedTime) => void;
-	/** Room, fitness or reachability changed. */
+	/** Free capacity, health or reachability may have changed. */
 	readonly onDidChange: () => void;
-	/** The session can't go on: another owner has the target, or its life is over. All its runs have got an outcome. */
+	/** The session has ended: another owner has the target, or its incarnation is over. Runs on a fenced target end with their lease. */
 	readonly onDidEnd: (cause: 'fenced' | 'replaced') => void;
 };
--- a/src/features/execution/session-parts.ts
+++ b/src/features/execution/session-parts.ts
@@ -1,4 +1,4 @@
-/** What a session works with. */
+/** Dependencies of a target's session. */
 import type {Clock} from '../../base/clock.js';
 import type {FencingToken} from '../../base/fencing-token.js';
 import type {Journal} from '../../runtime/journal/journal.js';
@@ -12,7 +12,7 @@
 	readonly fence: FencingToken;
 	readonly leaseMilliseconds: number;
 	readonly orders: TargetOrders;
-	readonly answerTimes: ResponseTimes;
+	readonly responseTimes: ResponseTimes;
 	readonly clock: Clock;
 	readonly journal: Journal;
 	readonly listener: SessionListener;
--- a/src/features/execution/step-counter.ts
+++ b/src/features/execution/step-counter.ts
@@ -1,6 +1,6 @@
-/** The order of what one session sends and hears. */
+/** Order of a session's messages. */
 
-/** Counts what is sent and what is confirmed: times can't tell before from after within one millisecond. */
+/** Numbers requests and confirmations from 1; timestamps don't order events within one millisecond. */
 export class StepCounter {
 	#latest = 0;
 
--- a/src/features/execution/target-loss.ts
+++ b/src/features/execution/target-loss.ts
@@ -1,19 +1,19 @@
-/** News of a target that went down, or may have, with what ran there. */
+/** A report on the loss of a target, and on its recovery. */
 import type {Incarnation} from '../../base/incarnation.js';
 import type {InstanceId} from '../../base/instance-id.js';
 import type {TaskId} from '../../base/task-id.js';
 
 /**
- * - `silent`: it doesn't answer and its lease has passed; it may have crashed or be cut off.
- * - `down`: it crashed. Without tasks this is said of those that were lost when it fell silent.
- * - `unsure`: as `silent`, and the target has never said that it started the tasks: it may have been down before.
- * - `back`: it was only cut off. Nothing went down with it.
+ * - `silent`: the target doesn't answer and its lease has expired; it may have crashed or be unreachable.
+ * - `down`: the target crashed. Without tasks, this applies to the tasks that were reported as lost when it became silent.
+ * - `unsure`: the target was lost before it confirmed that it started the tasks; it may have crashed before that.
+ * - `back`: the target answers and didn't crash.
  */
 export type TargetLoss = {
 	readonly target: InstanceId;
-	/** The life that was lost, or the one that answers now; nothing where the platform doesn't state it. */
+	/** The incarnation that was lost, or the one that answers now; undefined if the platform doesn't provide it. */
 	readonly incarnation: Incarnation | undefined;
 	readonly status: 'silent' | 'down' | 'unsure' | 'back';
-	/** What ran there and is lost. */
+	/** The lost tasks. */
 	readonly tasks: readonly TaskId[];
 };
--- a/src/features/execution/target-reports.ts
+++ b/src/features/execution/target-reports.ts
@@ -1,4 +1,4 @@
-/** What a target reports, and what follows from it. */
+/** Processing of the reports of one target. */
 import type {CancellationToken} from '../../base/cancellation-token.js';
 import type {Clock} from '../../base/clock.js';
 import type {Incarnation} from '../../base/incarnation.js';
@@ -19,12 +19,12 @@
 
 type Report = Extract<RenewalReply, {kind: 'report'}>;
 
-/** What the reports work with. */
+/** Dependencies of the reports. */
 type TargetReportsParts = {
 	readonly runs: RunTable;
 	readonly orders: SessionOrders;
 	readonly lease: LeaseSchedule;
-	readonly strangers: UnknownRuns;
+	readonly unknownRuns: UnknownRuns;
 	readonly plan: RenewalPlan;
 	readonly settlement: RunSettlement;
 	readonly steps: StepCounter;
@@ -33,112 +33,111 @@
 	readonly listener: SessionListener;
 };
 
-/** Takes from each report what is news: the target's life and clock, ends, runs that are missing, and runs that nobody asked for. */
+/** Processes each report: incarnation and clock of the target, ended runs, missing runs, and unknown runs. */
 export class TargetReports {
 	readonly #order = new ReportOrder();
-	/** When the latest report came: what is still among the runs was running then. */
-	#newestAt = 0;
+	#latestReportAt = 0;
 
 	constructor(private readonly parts: TargetReportsParts, private readonly token: CancellationToken) {}
 
-	/** The life that reported last. */
+	/** The incarnation that reported last. */
 	get incarnation(): Incarnation | undefined {
 		return this.#order.incarnation;
 	}
 
-	/** When the latest report came that told what runs there; monotonic. */
-	get newestAt(): number {
-		return this.#newestAt;
+	/** When the latest report arrived that wasn't out of order; monotonic. */
+	get latestReportAt(): number {
+		return this.#latestReportAt;
 	}
 
 	/**
-	 * Asks at once what runs there, and takes the report. Of a run that was stopped nothing else would say that the target has
-	 * never got its start before the wait of the renewal that is under way is over; its task would wait as long for another target.
+	 * Requests a report and processes it. After a stop it shows that the run isn't there without waiting for the pending
+	 * renewal, so that the task can start elsewhere sooner. Returns nothing when the target doesn't report.
 	 */
-	async look(): Promise<Report | undefined> {
+	async poll(): Promise<Report | undefined> {
 		const sentAtStep = this.parts.steps.next();
-		const reply = await this.parts.orders.look();
-		// Whatever else comes of it, the renewals find out themselves.
+		const reply = await this.parts.orders.poll();
+		// Failures are handled by the renewals.
 		if (this.token.isCancellationRequested || reply.kind !== 'report') {
 			return undefined;
 		}
 
-		this.take(reply, sentAtStep);
+		this.process(reply, sentAtStep);
 		return reply;
 	}
 
-	/** Takes a report that was asked for at a step of the session. */
-	take(report: Report, sentAtStep: number): void {
+	/** Processes a report that was requested at a step of the session. */
+	process(report: Report, sentAtStep: number): void {
 		const now = this.parts.clock.now();
 		const wasReachable = this.parts.plan.isReachable;
-		const unanswered = this.parts.plan.answer();
+		const unanswered = this.parts.plan.recordAnswered();
 		this.parts.runs.isFull = false;
 		if (!wasReachable) {
 			this.parts.journal.record('targetAnswers', {target: this.parts.orders.target.id, unanswered});
 		}
 
 		const former = this.#order.incarnation;
-		this.#takeRuns(report, sentAtStep, now);
+		this.#processRuns(report, sentAtStep, now);
 		const {incarnation} = this.#order;
-		if (!wasReachable || !this.parts.plan.isLooked || incarnation !== former) {
+		if (!wasReachable || !this.parts.plan.hasReport || incarnation !== former) {
 			this.parts.listener.onDidAnswer(incarnation);
 		}
 
-		this.parts.plan.isLooked = true;
+		this.parts.plan.hasReport = true;
 		this.parts.listener.onDidReport();
 		this.parts.listener.onDidChange();
 	}
 
-	/** The clock may show that this entry was suspended: whoever hears of it comes before what follows from the answer. */
-	readClock(clock: TargetTime, now: number): void {
-		const uncounted = this.parts.lease.uncounted(clock, now);
-		this.parts.lease.read(clock, now);
+	/** Records the target's clock. Listeners learn of a suspension of this entry before the rest of the answer is processed. */
+	recordClock(clock: TargetTime, now: number): void {
+		const uncounted = this.parts.lease.detectSuspension(clock, now);
+		this.parts.lease.recordClock(clock, now);
 		if (uncounted !== undefined) {
 			this.parts.listener.onDidCompareClocks(uncounted);
 		}
 	}
 
-	#takeRuns(report: Report, sentAtStep: number, now: number): void {
+	#processRuns(report: Report, sentAtStep: number, now: number): void {
 		const former = this.#order.incarnation;
-		const age = this.#order.take(report, sentAtStep);
-		if (age === 'restarted') {
-			this.#noteRestart(report, former);
+		const reportAge = this.#order.classify(report, sentAtStep);
+		if (reportAge === 'restarted') {
+			this.#handleRestart(report, former);
 		}
 
-		if (age === 'newest') {
-			this.readClock(report.clock, now);
+		if (reportAge === 'newest') {
+			this.recordClock(report.clock, now);
 		}
 
-		this.#takeEnds(report, now);
-		if (age === 'former') {
+		this.#processEnds(report, now);
+		if (reportAge === 'former') {
 			return;
 		}
 
-		this.parts.plan.processed(report.ended);
-		if (age !== 'overtaken') {
-			this.parts.lease.read(report.clock, now);
-			this.#newestAt = now;
-			this.#dropMissing(new Set(report.running.map(run => runKeyOf(run))), sentAtStep);
-			this.#stopStrangers(report, now);
+		this.parts.plan.acknowledge(report.ended);
+		if (reportAge !== 'overtaken') {
+			this.parts.lease.recordClock(report.clock, now);
+			this.#latestReportAt = now;
+			this.#endMissingRuns(new Set(report.running.map(run => runKeyOf(run))), sentAtStep);
+			this.#stopUnknownRuns(report, now);
 		}
 	}
 
-	/** What is numbered or judged by life begins anew; what ran there is missing from the report that follows. */
-	#noteRestart({incarnation}: Report, former: Incarnation | undefined): void {
+	/** Resets all state that is specific to an incarnation; the former one's runs are missing from this report. */
+	#handleRestart({incarnation}: Report, former: Incarnation | undefined): void {
 		const {journal, listener} = this.parts;
 		journal.record('targetRestarted', {
 			target: this.parts.orders.target.id, incarnation, former, acknowledged: this.parts.plan.acknowledged, runs: this.parts.runs.size,
 		});
 		this.parts.plan.restart();
 		this.parts.lease.restart();
-		// A run whose start is under way may be one of the new life.
-		this.parts.settlement.lose('down', former, [...this.parts.runs].filter(run => run.state !== 'starting'));
+		// A run that is still starting may belong to the new incarnation.
+		this.parts.settlement.reportLost('down', former, [...this.parts.runs].filter(run => run.state !== 'starting'));
 		listener.onDidRestart();
 	}
 
-	#takeEnds({ended}: Report, now: number): void {
+	#processEnds({ended}: Report, now: number): void {
 		for (const end of ended) {
-			const run = this.parts.runs.named(end);
+			const run = this.parts.runs.get(end);
 			if (run !== undefined) {
 				this.parts.settlement.end(run, outcomeOfEnd(run, end, this.parts.orders.target.id, now));
 			}
@@ -146,10 +145,10 @@
 	}
 
 	/**
-	 * A run that was confirmed before the report was asked for and is in neither of its lists has ended. A report that left
-	 * before the start was carried out says nothing of it.
+	 * Ends the runs that were confirmed before the report was requested and are in neither of its lists. A run that was
+	 * confirmed later may be missing because the report is older than its start.
 	 */
-	#dropMissing(running: ReadonlySet<string>, sentAtStep: number): void {
+	#endMissingRuns(running: ReadonlySet<string>, sentAtStep: number): void {
 		for (const run of this.parts.runs) {
 			const settledAtStep = run.stopConfirmedAtStep ?? run.confirmedAtStep;
 			if (settledAtStep !== undefined && settledAtStep < sentAtStep && !running.has(runKeyOf(run.request))) {
@@ -158,8 +157,8 @@
 		}
 	}
 
-	#stopStrangers(report: Report, now: number): void {
-		for (const {task, attempt} of this.parts.strangers.take(report.running, this.parts.runs, now)) {
+	#stopUnknownRuns(report: Report, now: number): void {
+		for (const {task, attempt} of this.parts.unknownRuns.update(report.running, this.parts.runs, now)) {
 			this.parts.journal.record('strangerStopped', {target: this.parts.orders.target.id, task, attempt});
 			void this.parts.orders.stop({task, attempt});
 		}
--- a/src/features/execution/target-session.ts
+++ b/src/features/execution/target-session.ts
@@ -1,4 +1,4 @@
-/** The orders to one owned target, and what runs there. */
+/** The connection between an owner and one of its targets. */
 import {CancellationSource} from '../../base/cancellation-source.js';
 import type {Disposable} from '../../base/disposable.js';
 import type {FencingToken} from '../../base/fencing-token.js';
@@ -25,47 +25,47 @@
 import {TargetReports} from './target-reports.js';
 
 /**
- * Starts and stops runs on one target, renews their lease and takes their ends. The session is the only one that orders the
- * target, as long as no newer owner was there; what it can't prove to have ended keeps its room.
+ * Starts and stops runs on one target, renews their lease and processes their ends. The target accepts orders only from the
+ * session with the highest fencing token. A run keeps its capacity reserved until it has provably ended.
  */
 export class TargetSession implements Disposable {
 	readonly #runs: RunTable;
 	readonly #orders: SessionOrders;
 	readonly #lease: LeaseSchedule;
-	readonly #strangers: UnknownRuns;
+	readonly #unknownRuns: UnknownRuns;
 	readonly #plan: RenewalPlan;
 	readonly #settlement: RunSettlement;
 	readonly #reports: TargetReports;
-	readonly #control: RunControl;
+	readonly #runControl: RunControl;
 	readonly #renewals: Renewals;
 	readonly #steps = new StepCounter();
-	readonly #closing = new CancellationSource();
+	readonly #cancellation = new CancellationSource();
 	#isPaused = false;
 	#hasOverdue = false;
 
 	constructor(private readonly parts: SessionParts) {
 		const {target, fence, leaseMilliseconds, clock} = parts;
-		const {token} = this.#closing;
+		const {token} = this.#cancellation;
 		this.#orders = new SessionOrders(parts, target, fence);
 		this.#runs = new RunTable(target.capacity);
-		this.#strangers = new UnknownRuns(clock.now());
+		this.#unknownRuns = new UnknownRuns(clock.now());
 		this.#lease = new LeaseSchedule(leaseMilliseconds);
-		this.#plan = new RenewalPlan(this.#lease, this.#runs, this.#strangers);
-		const lasting = {
-			...parts, orders: this.#orders, runs: this.#runs, strangers: this.#strangers, lease: this.#lease, plan: this.#plan, steps: this.#steps,
+		this.#plan = new RenewalPlan(this.#lease, this.#runs, this.#unknownRuns);
+		const sharedParts = {
+			...parts, orders: this.#orders, runs: this.#runs, unknownRuns: this.#unknownRuns, lease: this.#lease, plan: this.#plan, steps: this.#steps,
 		};
-		this.#settlement = new RunSettlement(lasting);
-		this.#reports = new TargetReports({...lasting, settlement: this.#settlement}, token);
-		const ordering = {
-			...lasting,
+		this.#settlement = new RunSettlement(sharedParts);
+		this.#reports = new TargetReports({...sharedParts, settlement: this.#settlement}, token);
+		const commandParts = {
+			...sharedParts,
 			settlement: this.#settlement,
 			reports: this.#reports,
 			onDidFail: (failure: OrderFailure) => {
-				this.#finish(failure);
+				this.#handleFailure(failure);
 			},
 		};
-		this.#control = new RunControl(ordering, token);
-		this.#renewals = new Renewals(ordering, token);
+		this.#runControl = new RunControl(commandParts, token);
+		this.#renewals = new Renewals(commandParts, token);
 	}
 
 	get target(): TargetRecord {
@@ -84,17 +84,17 @@
 		return this.#runs.hasRunOf(task);
 	}
 
-	/** Whether new tasks may be started: the target answers, isn't draining, isn't full by its own word, and holds nothing unknown or overdue. */
+	/** Whether new tasks may be started: the target answers, isn't draining, hasn't reported that it is full, and has no unknown or overdue runs. */
 	get isOpen(): boolean {
-		const isOurs = !this.#isClosed && !this.#isPaused && !this.#runs.isFull && this.#plan.isLooked && !this.#strangers.areThere;
-		return isOurs && this.isReachable && this.#isDescribed && !this.target.isDraining && !this.#hasOverdue;
+		const isAvailable = !this.#isClosed && !this.#isPaused && !this.#runs.isFull && this.#plan.hasReport && !this.#unknownRuns.hasAny;
+		return isAvailable && this.isReachable && this.#isRecordCurrent && !this.target.isDraining && !this.#hasOverdue;
 	}
 
 	/**
-	 * Whether the catalogue's record isn't that of a life before the one that reports. After a start under the same id another
-	 * kind of machine may be there: filled by its former capacity and labels it would get tasks that it can't bear or may not run.
+	 * Whether the catalogue's record describes the incarnation that reports, or a later one. A target that restarted under the
+	 * same id may have another capacity and other labels, so that an outdated record could overload it.
 	 */
-	get #isDescribed(): boolean {
+	get #isRecordCurrent(): boolean {
 		const [listed, reporting] = [this.target.incarnation, this.#reports.incarnation];
 		return listed === undefined || reporting === undefined || listed >= reporting;
 	}
@@ -104,74 +104,80 @@
 	}
 
 	/**
-	 * Looks for runs that take much longer than expected. One of them may just be long: the target gets no new tasks until
-	 * it has ended. Several, or one that is far over, say that the target works slowly or not at all; those are returned.
-	 * Only what the target itself has reported counts: while its answers are lost, runs that have ended seem to go on.
+	 * Returns the runs whose duration indicates a slow or stuck target. While there is a suspect run, the target gets no new
+	 * tasks. Durations are measured up to the latest report, since a lost answer makes an ended run appear to continue.
 	 */
 	findOverdue(): readonly Run[] {
-		const {suspects, overdue} = findOverdueRuns(this.#runs, this.#reports.newestAt);
+		const {suspects, overdue} = findOverdueRuns(this.#runs, this.#reports.latestReportAt);
 		this.#hasOverdue = suspects.length > 0;
 		return overdue;
 	}
 
-	/** What is left of the target's capacity. */
-	get room(): Resources {
-		return this.#runs.room;
+	/** The target's capacity minus the needs of its runs; negative after the capacity has shrunk. */
+	get freeCapacity(): Resources {
+		return this.#runs.freeCapacity;
 	}
 
-	/** Asks what runs there without waiting for the renewal under way. */
-	look(): void {
-		void this.#reports.look();
+	/** Requests a report without waiting for the pending renewal. */
+	poll(): void {
+		void this.#reports.poll();
 	}
 
-	/** Begins to look and to renew. */
+	/** Starts the renewal loop. */
 	open(): void {
 		void this.#renewals.run();
 	}
 
-	/** Takes a newer state of the same life, or a newer token. */
+	/** Applies a newer record of the target, or a newer token. */
 	update(target: TargetRecord, fence: FencingToken): void {
 		this.#orders.target = target;
 		this.#orders.fence = fence;
 		this.#runs.resize(target.capacity);
 	}
 
-	/** Whether as many tasks of its job run here as may. */
-	isFullOfJob({place, task}: RunRequest): boolean {
-		return place.maxTasksPerTarget !== undefined && this.#runs.countOfJob(jobOfTask(task)) >= place.maxTasksPerTarget;
+	/** Whether the job already has its maximum number of tasks on this target. */
+	hasReachedJobLimit({place, task}: RunRequest): boolean {
+		return place.maxTasksPerTarget !== undefined && this.#runs.countRunsOfJob(jobOfTask(task)) >= place.maxTasksPerTarget;
 	}
 
-	/** Takes the former owner's runs as its own; the next report shows which of them still run. */
+	/** Adds the runs handed over by the former owner; the next report shows which of them still run. */
 	adopt(handover: Handover): void {
 		const now = this.parts.clock.now();
-		// The former owner may have renewed the lease until it gave its word. Without this, a run that is lost before this
-		// owner renews anything would be told as gone at once, and be begun elsewhere beside itself.
-		this.#lease.noteRenewal(now);
+		// The former owner may have renewed the lease up to the handover. Without this, a run lost before the first renewal
+		// would be reported as gone at once, and its task would run twice.
+		this.#lease.recordRenewal(now);
 		for (const {request, requester} of handover.runs) {
 			this.#runs.add({
-				request, requester, slowdown: slowdownOf(request.place, this.target.labels), state: 'running', startedAt: now, confirmedAtStep: this.#steps.next(), stopConfirmedAtStep: undefined, stopCause: undefined,
+				request,
+				requester,
+				slowdown: slowdownOf(request.place, this.target.labels),
+				state: 'running',
+				startedAt: now,
+				confirmedAtStep: this.#steps.next(),
+				stopConfirmedAtStep: undefined,
+				stopCause: undefined,
 			});
 		}
 
-		this.#strangers.forget(this.#runs);
+		this.#unknownRuns.removeKnown(this.#runs);
 	}
 
-	/** Orders a start; the caller has checked that there's room. */
+	/** Sends a start order; the caller has checked the free capacity. */
 	start(run: Run): void {
-		this.#control.start(run);
+		this.#runControl.start(run);
 	}
 
-	/** Has a run ended; its outcome comes once it provably has. */
+	/** Stops a run; its outcome is reported once it has provably ended. */
 	stop(task: string, attempt: number, cause: string): void {
-		const run = this.#runs.named({task, attempt});
+		const run = this.#runs.get({task, attempt});
 		if (run !== undefined) {
-			this.#control.stop(run, cause);
+			this.#runControl.stop(run, cause);
 		}
 	}
 
 	/**
-	 * Stops ordering, so that the next owner can take over. Runs whose start is still under way, or that are being stopped,
-	 * aren't handed over: they end with this owner's lease.
+	 * Closes the session and returns the runs for the next owner. Runs that are starting or stopping aren't handed over: they
+	 * end with this owner's lease.
 	 */
 	release(): Handover {
 		this.#close();
@@ -180,25 +186,25 @@
 			this.#runs.remove(run);
 		}
 
-		this.#settlement.endAllWithLease('released by its owner');
+		this.#settlement.endAllAfterLease('released by its owner');
 		return {
 			target: this.target.id,
 			runs: runs.map(({request, requester}) => ({request, requester})),
 		};
 	}
 
-	/** Stops ordering a target that left the catalogue; its runs are reported once their lease has certainly ended. */
+	/** Closes the session of a target that left the catalogue; its runs are reported as gone once their lease has expired. */
 	abandon(): void {
 		this.#close();
-		this.#settlement.endAllWithLease('the target left');
+		this.#settlement.endAllAfterLease('the target left');
 	}
 
-	/** A start's answer is awaited before a release, so that a run isn't left without an owner. */
+	/** Whether a start is unanswered; a release waits for it, so that no run is left without an owner. */
 	get hasPendingStarts(): boolean {
 		return [...this.#runs].some(run => run.state === 'starting');
 	}
 
-	/** Takes no new tasks from here on, before a release. */
+	/** Accepts no new tasks from now on. */
 	pause(): void {
 		this.#isPaused = true;
 	}
@@ -208,14 +214,14 @@
 	}
 
 	get #isClosed(): boolean {
-		return this.#closing.token.isCancellationRequested;
+		return this.#cancellation.token.isCancellationRequested;
 	}
 
 	#close(): void {
-		this.#closing.cancel();
+		this.#cancellation.cancel();
 	}
 
-	#finish({kind, detail}: OrderFailure): void {
+	#handleFailure({kind, detail}: OrderFailure): void {
 		if (this.#isClosed) {
 			return;
 		}
@@ -225,10 +231,10 @@
 			target: this.target.id, kind, detail, fence: this.fence, runs: this.#runs.size,
 		});
 		if (kind === 'replaced') {
-			this.#settlement.lose('down', this.#reports.incarnation, [...this.#runs]);
+			this.#settlement.reportLost('down', this.#reports.incarnation, [...this.#runs]);
 			this.#settlement.endAll(kind);
 		} else {
-			this.#settlement.endAllWithLease(kind);
+			this.#settlement.endAllAfterLease(kind);
 		}
 
 		this.parts.listener.onDidEnd(kind === 'fenced' ? 'fenced' : 'replaced');
--- a/src/features/execution/target-sessions.ts
+++ b/src/features/execution/target-sessions.ts
@@ -18,13 +18,13 @@
 import type {Run} from './run.js';
 import {TargetSession} from './target-session.js';
 
-/** A handover that nobody took is forgotten when all that it names has ended with its lease. */
-const handoverMilliseconds = 1500;
+/** How long an unused handover is kept; longer than the lease of the runs in it. */
+const handoverRetentionMilliseconds = 1500;
 
-/** A former owner's word, with the time at which it came. */
+/** A handover and the monotonic time of its arrival. */
 type ReceivedHandover = {readonly handover: Handover; readonly at: number};
 
-/** What the sessions work with. */
+/** Dependencies of the sessions. */
 type TargetSessionsParts = {
 	readonly leaseMilliseconds: number;
 	readonly orders: TargetOrders;
@@ -34,33 +34,33 @@
 	readonly journal: Journal;
 	readonly listener: {
 		readonly onDidEndRun: (session: TargetSession, run: Run, outcome: RunOutcome) => void;
-		/** A target told what runs there and what has ended. */
+		/** Called after each report of a target. */
 		readonly onDidReport: (session: TargetSession) => void;
-		/** A target's clock has gone on by so much more than this entry's. */
+		/** Called with the time by which a target's clock advanced more than this entry's. */
 		readonly onDidCompareClocks: (uncounted: UncountedTime) => void;
-		/** There may be more room than before. */
+		/** Called when free capacity may have grown. */
 		readonly onDidChange: () => void;
 	};
 };
 
-/** Opens a session for each target that comes, with what its former owner has handed over, and gives up those that go. */
+/** Opens a session for each newly owned target, with the runs handed over by its former owner, and closes the others. */
 export class TargetSessions implements Iterable<TargetSession>, Disposable {
 	readonly #sessions = new Map<InstanceId, TargetSession>();
-	/** The highest token that a target rejected: it isn't ordered again with that one or a lower one. */
-	readonly #fenced = new Map<InstanceId, FencingToken>();
+	/** The highest token that each target rejected; no session is opened with that token or a lower one. */
+	readonly #rejectedTokens = new Map<InstanceId, FencingToken>();
 	readonly #handovers = new Map<InstanceId, ReceivedHandover>();
-	readonly #adopt = new Emitter<Adoption>();
+	readonly #adopted = new Emitter<Adoption>();
 	readonly #willRelease = new Emitter<Run>();
-	readonly #answerTimes = new ResponseTimes();
+	readonly #responseTimes = new ResponseTimes();
 
 	constructor(private readonly parts: TargetSessionsParts) {}
 
-	/** Fires when a former owner's run goes on under this entry. */
+	/** Fires when a run is adopted from a former owner. */
 	get onDidAdopt() {
-		return this.#adopt.event;
+		return this.#adopted.event;
 	}
 
-	/** Fires for each run before its target is given up; one that is stopped then isn't handed over. */
+	/** Fires for each run before its target is released; a run that a listener stops isn't handed over. */
 	get onWillRelease() {
 		return this.#willRelease.event;
 	}
@@ -73,7 +73,7 @@
 		return this.#sessions.values();
 	}
 
-	/** Opens sessions for targets that came, and updates the others; those that went are dropped with their runs' lease. */
+	/** Opens sessions for new targets, updates existing ones, and abandons those of targets that are no longer owned. */
 	assign(owned: ReadonlyMap<InstanceId, OwnedTarget>): void {
 		for (const [id, session] of this.#sessions) {
 			if (!owned.has(id)) {
@@ -82,11 +82,11 @@
 		}
 
 		for (const [id, {target, fence}] of owned) {
-			this.#ensure(id, target, fence);
+			this.#openOrUpdate(id, target, fence);
 		}
 	}
 
-	/** Has some targets take no new tasks, and asks who runs something there whether that is to go on. */
+	/** Pauses the given targets, and fires `onWillRelease` for each of their runs. */
 	prepareRelease(ids: ReadonlySet<InstanceId>): readonly TargetSession[] {
 		const leaving = [...this.#sessions.values()].filter(session => ids.has(session.target.id));
 		for (const session of leaving) {
@@ -99,7 +99,7 @@
 		return leaving;
 	}
 
-	/** Gives up a target so that the next owner can go on with what runs there; returns what it has to know. */
+	/** Closes a target's session and returns the runs for the next owner. */
 	release(session: TargetSession): Handover {
 		const {id} = session.target;
 		this.#sessions.delete(id);
@@ -109,18 +109,18 @@
 		return handover;
 	}
 
-	/** Keeps a former owner's word until the target is this entry's. */
-	expect(handover: Handover): void {
+	/** Adopts the runs of a handover, now or once the target is owned. */
+	receiveHandover(handover: Handover): void {
 		const {clock} = this.parts;
 		const received = {handover, at: clock.now()};
 		const session = this.#sessions.get(handover.target);
 		if (session !== undefined) {
-			this.#adoptInto(session, received);
+			this.#adoptRuns(session, received);
 			return;
 		}
 
 		this.#handovers.set(handover.target, received);
-		clock.schedule(handoverMilliseconds, () => {
+		clock.schedule(handoverRetentionMilliseconds, () => {
 			if (this.#handovers.get(handover.target) === received) {
 				this.#handovers.delete(handover.target);
 			}
@@ -135,14 +135,14 @@
 		this.#sessions.clear();
 	}
 
-	#ensure(id: InstanceId, target: TargetRecord, fence: FencingToken): void {
+	#openOrUpdate(id: InstanceId, target: TargetRecord, fence: FencingToken): void {
 		const known = this.#sessions.get(id);
 		if (known !== undefined) {
 			known.update(target, fence);
 			return;
 		}
 
-		if ((this.#fenced.get(id) ?? -1) >= fence) {
+		if ((this.#rejectedTokens.get(id) ?? -1) >= fence) {
 			return;
 		}
 
@@ -150,29 +150,29 @@
 	}
 
 	#open(id: InstanceId, target: TargetRecord, fence: FencingToken): void {
-		const session = this.#sessionOf(id, target, fence);
+		const session = this.#createSession(id, target, fence);
 		this.#sessions.set(id, session);
 		const received = this.#handovers.get(id);
 		this.#handovers.delete(id);
 		if (received !== undefined) {
-			this.#adoptInto(session, received);
+			this.#adoptRuns(session, received);
 		}
 
 		this.parts.journal.record('targetOwned', {target: id, fence, adopted: received?.handover.runs.length ?? 0});
 		session.open();
 	}
 
-	#sessionOf(id: InstanceId, target: TargetRecord, fence: FencingToken): TargetSession {
+	#createSession(id: InstanceId, target: TargetRecord, fence: FencingToken): TargetSession {
 		const {leaseMilliseconds, orders, clock, journal} = this.parts;
 		const session: TargetSession = new TargetSession({
-			target, fence, leaseMilliseconds, orders, answerTimes: this.#answerTimes, clock, journal, listener: {
+			target, fence, leaseMilliseconds, orders, responseTimes: this.#responseTimes, clock, journal, listener: {
 				onDidEndRun: (run, outcome) => {
 					this.parts.listener.onDidEndRun(session, run, outcome);
 				},
 				onDidReport: () => {
 					this.parts.listener.onDidReport(session);
 				},
-				onDidLose: (status, incarnation, tasks) => {
+				onDidLoseTasks: (status, incarnation, tasks) => {
 					this.parts.losses.record({
 						target: id, incarnation, status, tasks,
 					});
@@ -190,17 +190,17 @@
 					this.parts.listener.onDidChange();
 				},
 				onDidEnd: cause => {
-					this.#sessionEnded(session, cause);
+					this.#handleSessionEnd(session, cause);
 				},
 			},
 		});
 		return session;
 	}
 
-	#adoptInto(session: TargetSession, {handover, at}: ReceivedHandover): void {
+	#adoptRuns(session: TargetSession, {handover, at}: ReceivedHandover): void {
 		session.adopt(handover);
 		for (const {request, requester} of handover.runs) {
-			this.#adopt.fire({requester, request, handedOverAt: at});
+			this.#adopted.fire({requester, request, handedOverAt: at});
 		}
 	}
 
@@ -211,12 +211,12 @@
 		this.parts.journal.record('targetDropped', {target: id});
 	}
 
-	#sessionEnded(session: TargetSession, cause: 'fenced' | 'replaced'): void {
+	#handleSessionEnd(session: TargetSession, cause: 'fenced' | 'replaced'): void {
 		const {id} = session.target;
 		this.#sessions.delete(id);
 		this.parts.orders.disconnect(session.target);
 		if (cause === 'fenced') {
-			this.#fenced.set(id, session.fence);
+			this.#rejectedTokens.set(id, session.fence);
 		}
 
 		this.parts.listener.onDidChange();
--- a/src/features/ownership/claim.ts
+++ b/src/features/ownership/claim.ts
@@ -1,7 +1,7 @@
-/** A right to own targets. */
+/** Ownership of partitions of targets. */
 import type {FencingToken} from '../../base/fencing-token.js';
 
-/** The partitions of a group, and the token for orders to their targets. */
+/** The owned partitions of a group, and the fencing token for orders to their targets. */
 export type Claim = {
 	readonly fence: FencingToken;
 	readonly partitions: ReadonlySet<number>;
--- a/src/features/ownership/group-member.ts
+++ b/src/features/ownership/group-member.ts
@@ -1,4 +1,4 @@
-/** This entry's membership in one ownership group. */
+/** This entry's membership in an ownership group. */
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
 import type {FencingToken} from '../../base/fencing-token.js';
@@ -8,15 +8,14 @@
 import type {PartitionGrant} from './partition-grant.js';
 import type {PartitionGroup} from './partition-group.js';
 
-/** How often the membership is renewed; a fifth of its time to live, so that four renewals may be lost. */
+/** Renewal interval; a fifth of the membership's time to live, so that four consecutive renewals may fail. */
 const renewalMilliseconds = 300;
 /**
- * While the group is being dealt, each partition moves at its holder's next renewal, and its targets have no owner until
- * then: jobs wait for the slowest. A renewal costs the store less than a call.
+ * Renewal interval during a rebalance. Partitions move when their former holders renew; until then their targets have no owner.
  */
-const settlingMilliseconds = 60;
-/** So long after a change, or after the start, the group counts as being dealt. */
-const settlingTimeMilliseconds = 1500;
+const rebalanceRenewalMilliseconds = 60;
+/** Duration of a rebalance after a change or the start. */
+const rebalanceMilliseconds = 1500;
 
 type GroupMemberParts = {
 	readonly group: OwnershipGroupName;
@@ -27,25 +26,25 @@
 	readonly listener: GroupMemberListener;
 };
 
-/** What a member tells its owner. */
+/** Events of a membership. */
 type GroupMemberListener = {
 	readonly onDidChangeClaim: () => void;
-	/** The group has given away partitions: what runs on their targets has to be handed over before this returns. */
+	/** Partitions were lost; the runs on their targets must be handed over before this settles. */
 	readonly onWillRelease: (lost: ReadonlySet<number>) => Promise<void>;
 };
 
 /**
- * Joins a group over and over. While the store gives no answer the last claim stays: a target that has met a newer owner
- * rejects this entry's token, and nobody else can take over a target unless the store answered it.
+ * Joins a group and keeps renewing the membership. Keeps the last claim while the store is unavailable, which is safe because
+ * a target that has a newer owner rejects this entry's token.
  */
 export class GroupMember implements Disposable {
 	#claim: Claim | undefined;
 	#generation = 0;
-	#isAway = false;
+	#isStoreUnavailable = false;
 	#isDisposed = false;
 	#timer: Disposable | undefined;
 	#isJoining = false;
-	#isWanted = false;
+	#isRenewalRequested = false;
 	#changedAt: number;
 
 	constructor(private readonly parts: GroupMemberParts) {
@@ -56,7 +55,7 @@
 		return this.#claim;
 	}
 
-	/** Joins now, and goes on renewing. */
+	/** Renews the membership now, and periodically from then on. */
 	renew(): void {
 		this.#timer?.dispose();
 		if (this.#isDisposed) {
@@ -64,14 +63,14 @@
 		}
 
 		if (this.#isJoining) {
-			this.#isWanted = true;
+			this.#isRenewalRequested = true;
 			return;
 		}
 
 		void this.#renewOnce();
 	}
 
-	/** Gives up all partitions at once. */
+	/** Leaves the group and gives up all partitions. */
 	async leave(): Promise<void> {
 		const {store, group, member} = this.parts;
 		this.dispose();
@@ -90,12 +89,12 @@
 		this.#isJoining = true;
 		const grant = await store.join(group, member, this.#generation);
 		if (!this.#isDisposed) {
-			await this.#take(grant);
+			await this.#applyGrant(grant);
 		}
 
 		this.#isJoining = false;
-		const delay = this.#isWanted ? 0 : this.#period;
-		this.#isWanted = false;
+		const delay = this.#isRenewalRequested ? 0 : this.#renewalPeriod;
+		this.#isRenewalRequested = false;
 		if (!this.#isDisposed) {
 			this.#timer = this.parts.clock.schedule(delay, () => {
 				this.renew();
@@ -103,24 +102,24 @@
 		}
 	}
 
-	get #period(): number {
-		const isSettling = !this.#isAway && this.parts.clock.now() - this.#changedAt < settlingTimeMilliseconds;
-		return isSettling ? settlingMilliseconds : renewalMilliseconds;
+	get #renewalPeriod(): number {
+		const isRebalancing = !this.#isStoreUnavailable && this.parts.clock.now() - this.#changedAt < rebalanceMilliseconds;
+		return isRebalancing ? rebalanceRenewalMilliseconds : renewalMilliseconds;
 	}
 
-	async #take(grant: PartitionGrant | undefined): Promise<void> {
-		this.#noteAway(grant === undefined);
+	async #applyGrant(grant: PartitionGrant | undefined): Promise<void> {
+		this.#recordStoreAvailability(grant === undefined);
 		if (grant === undefined) {
 			return;
 		}
 
 		const lost = new Set([...this.#claim?.partitions ?? []].filter(partition => !grant.partitions.has(partition)));
-		// A partition that another member gave up comes without a new generation.
+		// A partition that another member gave up is assigned without a new generation.
 		const isChanged = grant.generation !== this.#generation || lost.size > 0 || grant.partitions.size !== this.#claim?.partitions.size;
 		if (lost.size > 0) {
-			// The next owner gets these only after the next join: until then their tasks can be handed over.
+			// The next owner gets these only after the next join, so that their runs can be handed over first.
 			await this.parts.listener.onWillRelease(lost);
-			this.#isWanted = true;
+			this.#isRenewalRequested = true;
 		}
 
 		this.#generation = grant.generation;
@@ -134,10 +133,10 @@
 		}
 	}
 
-	#noteAway(isAway: boolean): void {
-		if (isAway !== this.#isAway) {
-			this.#isAway = isAway;
-			this.parts.journal.record(isAway ? 'groupAway' : 'groupBack', {group: this.parts.group, generation: this.#generation});
+	#recordStoreAvailability(isUnavailable: boolean): void {
+		if (isUnavailable !== this.#isStoreUnavailable) {
+			this.#isStoreUnavailable = isUnavailable;
+			this.parts.journal.record(isUnavailable ? 'groupAway' : 'groupBack', {group: this.parts.group, generation: this.#generation});
 		}
 	}
 }
--- a/src/features/ownership/ownership.ts
+++ b/src/features/ownership/ownership.ts
@@ -1,4 +1,4 @@
-/** Which targets this entry owns, and by what right. */
+/** Ownership of targets by this entry. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
@@ -18,19 +18,19 @@
 import {GroupMember} from './group-member.js';
 import type {PartitionGroup} from './partition-group.js';
 
-/** How often the store is asked whether a zone that can't be heard has entries of its own. */
-const considerMilliseconds = 500;
+/** Minimum interval of checks whether an unreachable zone has entries of its own. */
+const coverageCheckMilliseconds = 500;
 
-/** So many targets of a zone are asked for a sign before it's covered: one of them may be down by itself. */
-const targetsToTry = 3;
-/** A target that is reached answers within this, also at a small entry's busiest moments. */
-const signLimitMilliseconds = 120;
-/** A target that has had an owner rejects it, which is as good a sign as any answer. */
-const lowestToken = 0 as FencingToken;
+/** Number of targets of a zone to probe before covering it; single ones may be down. */
+const maxProbedTargets = 3;
+/** Time limit of a probe; includes delays on a busy entry. */
+const probeLimitMilliseconds = 120;
+/** The lowest token: a target that has an owner rejects it, which shows that it is reachable. */
+const probeToken = 0 as FencingToken;
 
 type OwnershipParts = {
 	readonly zone: AvailabilityZone;
-	/** Names this life of the entry in the groups. */
+	/** Identifies this process of the entry in the groups. */
 	readonly member: string;
 	readonly store: PartitionGroup;
 	readonly catalogue: TargetCatalogue;
@@ -42,13 +42,13 @@
 };
 
 /**
- * The targets of each zone are shared out among the entries of that zone, so that a zone which is cut off goes on with all
- * of its own targets. A zone without an entry is covered by an entry of another one, which joins that zone's group.
+ * Distributes the targets of each zone among the zone's entries, so that an isolated zone keeps its targets. A zone without
+ * entries is covered by an entry of another zone, which joins that zone's group.
  */
 export class Ownership implements Disposable {
 	readonly #members = new Map<AvailabilityZone, GroupMember>();
-	readonly #consideredAt = new Map<AvailabilityZone, number>();
-	readonly #handOver = new Emitter<readonly Handover[]>();
+	readonly #coverageCheckedAt = new Map<AvailabilityZone, number>();
+	readonly #handedOver = new Emitter<readonly Handover[]>();
 	readonly #subscriptions: readonly Disposable[];
 	#isLeaving = false;
 
@@ -58,19 +58,19 @@
 		}));
 	}
 
-	/** Fires when targets were given up: the entry that gets them next needs these. */
+	/** Fires when targets were released, with the handovers for their next owners. */
 	get onDidHandOver() {
-		return this.#handOver.event;
+		return this.#handedOver.event;
 	}
 
-	/** Joins the groups of its own zone and of the zones to cover, and leaves the others. */
+	/** Joins the groups of this entry's zone and of uncovered zones among the given ones, and leaves all others. */
 	coverZones(zones: ReadonlySet<AvailabilityZone>): void {
 		if (!this.#members.has(this.parts.zone)) {
 			this.#join(this.parts.zone);
 		}
 
 		for (const zone of zones) {
-			void this.#considerCovering(zone);
+			void this.#checkCoverage(zone);
 		}
 
 		for (const [zone, member] of this.#members) {
@@ -80,14 +80,14 @@
 		}
 	}
 
-	/** Somebody gave up targets: they may be this entry's now. */
+	/** Renews all memberships now, since released targets may be assigned to this entry. */
 	renew(): void {
 		for (const member of this.#members.values()) {
 			member.renew();
 		}
 	}
 
-	/** Gives up all targets, with what runs there. */
+	/** Releases all targets and hands over their runs. */
 	async leave(): Promise<void> {
 		this.#isLeaving = true;
 		const members = [...this.#members];
@@ -99,37 +99,37 @@
 			subscription.dispose();
 		}
 
-		this.#handOver.dispose();
+		this.#handedOver.dispose();
 		for (const member of this.#members.values()) {
 			member.dispose();
 		}
 	}
 
 	/**
-	 * A zone whose entries can't be heard may just be cut off, and its targets with it: then its group still has members of
-	 * its own, and joining would take targets from those who reach them. Asked again while the zone is covered.
+	 * Joins the group of an unreachable zone if the group has no members of that zone, and leaves it once there are some. A zone
+	 * that is only isolated still has members, and joining would take away targets that they can reach.
 	 */
-	async #considerCovering(zone: AvailabilityZone): Promise<void> {
+	async #checkCoverage(zone: AvailabilityZone): Promise<void> {
 		const {store, clock, journal} = this.parts;
 		const now = clock.now();
-		if (now - (this.#consideredAt.get(zone) ?? Number.NEGATIVE_INFINITY) < considerMilliseconds) {
+		if (now - (this.#coverageCheckedAt.get(zone) ?? Number.NEGATIVE_INFINITY) < coverageCheckMilliseconds) {
 			return;
 		}
 
-		this.#consideredAt.set(zone, now);
+		this.#coverageCheckedAt.set(zone, now);
 		const holders = await store.holders(groupOf(zone));
-		const isStaffed = holders === undefined || [...holders].some(holder => holder.startsWith(memberPrefixOf(zone)));
+		const hasOwnMembers = holders === undefined || [...holders].some(holder => holder.startsWith(memberPrefixOf(zone)));
 		const member = this.#members.get(zone);
-		if (isStaffed === (member === undefined) || this.#isLeaving) {
+		if (hasOwnMembers === (member === undefined) || this.#isLeaving) {
 			return;
 		}
 
-		const isReached = member !== undefined || await this.#reaches(zone);
-		if (!isReached || this.#isLeaving) {
+		const isReachable = member !== undefined || await this.#canReach(zone);
+		if (!isReachable || this.#isLeaving) {
 			return;
 		}
 
-		journal.record('zoneCovered', {zone, isCovered: !isStaffed, holders: holders?.size});
+		journal.record('zoneCovered', {zone, isCovered: !hasOwnMembers, holders: holders?.size});
 		if (member === undefined) {
 			this.#join(zone);
 		} else if (holders !== undefined) {
@@ -138,15 +138,15 @@
 	}
 
 	/**
-	 * Whether a target of the zone answers. A zone that is cut off from the store as well as from the other zones loses its
-	 * places in its group, but its entries go on with their targets, which nobody else reaches.
+	 * Whether any target of the zone answers. The entries of a zone that is isolated from the store lose their memberships, but
+	 * keep their targets, which no other zone can reach.
 	 */
-	async #reaches(zone: AvailabilityZone): Promise<boolean> {
+	async #canReach(zone: AvailabilityZone): Promise<boolean> {
 		const {catalogue, orders} = this.parts;
-		const targets = [...catalogue.targets.values()].filter(target => target.zone === zone).slice(0, targetsToTry);
+		const targets = [...catalogue.targets.values()].filter(target => target.zone === zone).slice(0, maxProbedTargets);
 		const answers = await Promise.all(targets.map(async target => {
 			const reply = await orders.renew(target, {
-				fence: lowestToken, acknowledged: 0, leaseUntil: undefined, waitMilliseconds: 0, limitMilliseconds: signLimitMilliseconds,
+				fence: probeToken, acknowledged: 0, leaseUntil: undefined, waitMilliseconds: 0, limitMilliseconds: probeLimitMilliseconds,
 			});
 			orders.disconnect(target);
 			return reply.kind !== 'unreachable' && reply.kind !== 'unanswered';
@@ -171,19 +171,19 @@
 		});
 		this.#members.set(zone, joined);
 		joined.renew();
-		void this.#takeOver(zone, joined);
+		void this.#removeFormerMembers(zone, joined);
 	}
 
-	/** What this life of the entry is called in each group. */
+	/** This process's member name in each group. */
 	get #name(): string {
 		return `${memberPrefixOf(this.parts.zone)}${this.parts.member}`;
 	}
 
-	/** What a former life of this entry held is free now, and not only after its time to live. */
-	async #takeOver(zone: AvailabilityZone, joined: GroupMember): Promise<void> {
+	/** Removes this entry's former processes from the group, and renews if there were any. */
+	async #removeFormerMembers(zone: AvailabilityZone, joined: GroupMember): Promise<void> {
 		const {store, journal} = this.parts;
-		const hadFormer = await removeFormerMembers({group: groupOf(zone), member: this.#name}, store, journal);
-		if (hadFormer) {
+		const hadFormerMembers = await removeFormerMembers({group: groupOf(zone), member: this.#name}, store, journal);
+		if (hadFormerMembers) {
 			joined.renew();
 		}
 	}
@@ -191,17 +191,17 @@
 	async #leave(zone: AvailabilityZone, member: GroupMember): Promise<void> {
 		this.#members.delete(zone);
 		const partitions = member.claim?.partitions ?? new Set<number>();
-		// The word of what runs there goes out first: the next owner may be there as soon as the group knows.
+		// Handovers are sent first, because the next owner may be assigned as soon as the group changes.
 		await this.#release(zone, partitions);
 		await member.leave();
-		this.#handOver.fire([]);
+		this.#handedOver.fire([]);
 	}
 
 	async #release(zone: AvailabilityZone, partitions: ReadonlySet<number>): Promise<void> {
 		const ids = [...this.parts.catalogue.targets.values()].filter(target => target.zone === zone && partitions.has(this.#partitionOf(target.id)));
 		const handovers = await this.parts.executor.release(new Set(ids.map(target => target.id)));
 		if (handovers.length > 0) {
-			this.#handOver.fire(handovers);
+			this.#handedOver.fire(handovers);
 		}
 	}
 
@@ -210,15 +210,15 @@
 		for (const target of this.parts.catalogue.targets.values()) {
 			const claim = this.#members.get(target.zone)?.claim;
 			if (claim?.partitions.has(this.#partitionOf(target.id))) {
-				owned.set(target.id, {target: this.#asOrdered(target), fence: claim.fence});
+				owned.set(target.id, {target: this.#withEvacuation(target), fence: claim.fence});
 			}
 		}
 
 		this.parts.executor.assign(owned);
 	}
 
-	/** A target of an evacuated zone is treated as one that announced its leaving itself. */
-	#asOrdered(target: TargetRecord): TargetRecord {
+	/** Marks a target of an evacuated zone as draining. */
+	#withEvacuation(target: TargetRecord): TargetRecord {
 		return this.parts.evacuations.has(target.zone) ? {...target, isDraining: true} : target;
 	}
 
@@ -231,7 +231,7 @@
 	return `targets.${zone}` as OwnershipGroupName;
 }
 
-/** Members are named after their own zone, so that those of another one can be told apart. */
+/** Member names begin with the entry's zone, which identifies members from other zones. */
 function memberPrefixOf(zone: AvailabilityZone): string {
 	return `${zone}/`;
 }
--- a/src/features/ownership/partition-grant.ts
+++ b/src/features/ownership/partition-grant.ts
@@ -1,6 +1,6 @@
-/** What a group gives to a member. */
+/** Partitions assigned to a group's member. */
 
-/** The generation serves as fencing token for the partitions. */
+/** `generation` serves as the fencing token of the partitions. */
 export type PartitionGrant = {
 	readonly generation: number;
 	readonly partitions: ReadonlySet<number>;
--- a/src/features/ownership/remove-former-members.ts
+++ b/src/features/ownership/remove-former-members.ts
@@ -1,20 +1,20 @@
-/** What an entry's former lives still hold in a group. */
+/** Cleanup of the memberships that an entry's former processes left in a group. */
 import type {OwnershipGroupName} from '../../base/ownership-group-name.js';
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {PartitionGroup} from './partition-group.js';
 
-/** Parts of a member's name; the last one tells the lives at one address apart. */
+/** Separates the parts of a member's name; the last part differs between processes at one address. */
 const separator = '/';
 
-/** Whose former lives are to end, and where. */
-type NewLife = {readonly group: OwnershipGroupName; readonly member: string};
+/** A member of a group. */
+type Membership = {readonly group: OwnershipGroupName; readonly member: string};
 
 /**
- * Takes the places of an entry's former lives out of a group; whether there were any. A process that ends without a word holds
- * its targets until its time to live is over: after all entries were killed and had started again, callers were refused for
- * want of targets for half a second. Whoever listens at an address knows that all former lives there have ended.
+ * Removes the members with the same address as an entry from a group; returns whether there were any. Without this, a process
+ * that crashed would hold its partitions until its membership expires. An address has one listener, so its former processes
+ * have ended.
  */
-export async function removeFormerMembers({group, member}: NewLife, store: PartitionGroup, journal: Journal): Promise<boolean> {
+export async function removeFormerMembers({group, member}: Membership, store: PartitionGroup, journal: Journal): Promise<boolean> {
 	const address = member.slice(0, member.lastIndexOf(separator) + 1);
 	if (address === '') {
 		return false;
--- a/src/features/targets/order-failure.ts
+++ b/src/features/targets/order-failure.ts
@@ -1,11 +1,11 @@
-/** Why an order to a target brought no answer of its own. */
+/** Failure of an order to a target. */
 
 /**
- * - `fenced`: another owner with a higher token has been there; nothing was done.
- * - `replaced`: another life answers at the address; this one is gone, with all that it ran.
- * - `unhealthy`: the target refused for its own reasons; nothing was done.
- * - `unreachable`: nothing listens there, or no connection could be made; nothing was done.
- * - `unanswered`: it may have been done, or may be done later.
- * - `rejected`: the target did not accept the order as it was written; nothing was done.
+ * - `fenced`: the target has accepted a higher token; the order wasn't executed.
+ * - `replaced`: another incarnation answers at the address; this one is gone, with all its runs.
+ * - `unhealthy`: the target refused for its own reasons; the order wasn't executed.
+ * - `unreachable`: the connection failed; the order wasn't executed.
+ * - `unanswered`: the order may have been executed, or may be executed later.
+ * - `rejected`: the target considered the order invalid; it wasn't executed.
  */
 export type OrderFailure = {readonly kind: 'fenced' | 'replaced' | 'unhealthy' | 'unreachable' | 'unanswered' | 'rejected'; readonly detail: string};
--- a/src/features/targets/renewal-reply.ts
+++ b/src/features/targets/renewal-reply.ts
@@ -1,14 +1,14 @@
-/** What a target reports. */
+/** A target's answer to a renewal. */
 import type {Incarnation} from '../../base/incarnation.js';
 import type {TargetTime} from '../../base/target-time.js';
 import type {TaskId} from '../../base/task-id.js';
 import type {OrderFailure} from './order-failure.js';
 import type {RunEnd} from './run-end.js';
 
-/** Everything that runs there, and the ends that aren't acknowledged yet, in their order. */
+/** All current runs, and the unacknowledged ends in order. */
 export type RenewalReply = {
 	readonly kind: 'report';
-	/** The life that reports; nothing where the platform doesn't state it. */
+	/** The reporting incarnation; undefined if the platform doesn't provide it. */
 	readonly incarnation: Incarnation | undefined;
 	readonly clock: TargetTime;
 	readonly running: ReadonlyArray<{readonly task: TaskId; readonly attempt: number}>;
--- a/src/features/targets/run-end.ts
+++ b/src/features/targets/run-end.ts
@@ -1,7 +1,7 @@
-/** A run's end as a target lists it. */
+/** The end of a run in a target's report. */
 import type {TaskId} from '../../base/task-id.js';
 
-/** `number` counts a life's ends from 1. `lapsed`: the lease passed and the run was killed. */
+/** `number` counts the ends of an incarnation from 1. `lapsed`: the run was killed when its lease expired. */
 export type RunEnd = {
 	readonly number: number;
 	readonly task: TaskId;
--- a/src/features/targets/stop-order.ts
+++ b/src/features/targets/stop-order.ts
@@ -1,12 +1,12 @@
-/** The order to stop a run. */
+/** Order to stop a run. */
 import type {FencingToken} from '../../base/fencing-token.js';
 import type {TaskId} from '../../base/task-id.js';
 
-/** After it was accepted, this run and all earlier attempts can't start there any more. */
+/** Once accepted, this and all earlier attempts can't start on the target any more. */
 export type StopOrder = {
 	readonly task: TaskId;
 	readonly attempt: number;
 	readonly fence: FencingToken;
-	/** After so long without an answer the order counts as unanswered. */
+	/** Time limit for the answer. */
 	readonly limitMilliseconds: number;
 };
--- a/src/features/targets/stop-reply.ts
+++ b/src/features/targets/stop-reply.ts
@@ -1,5 +1,5 @@
-/** What a target says to a stop. */
+/** A target's answer to a stop. */
 import type {OrderFailure} from './order-failure.js';
 
-/** `accepted`: the run ends shortly; its room is free once its end is listed. */
+/** `accepted`: the run ends shortly; its capacity is free once its end is reported. */
 export type StopReply = {readonly kind: 'accepted'} | OrderFailure;
--- a/src/features/targets/target-catalogue.ts
+++ b/src/features/targets/target-catalogue.ts
@@ -1,12 +1,12 @@
-/** Which targets there are. */
+/** The list of known targets. */
 import type {Event} from '../../base/event.js';
 import type {InstanceId} from '../../base/instance-id.js';
 import type {TargetRecord} from './target-record.js';
 
-/** The latest known list; it lags behind, and stands still while its source is away. */
+/** The latest known list; may lag behind its source, and isn't updated while the source is unavailable. */
 export abstract class TargetCatalogue {
 	abstract readonly targets: ReadonlyMap<InstanceId, TargetRecord>;
 
-	/** Fires after records came, changed or went. */
+	/** Fires after records were added, changed or removed. */
 	abstract readonly onDidChange: Event<void>;
 }
--- a/src/features/targets/target-orders.ts
+++ b/src/features/targets/target-orders.ts
@@ -7,7 +7,7 @@
 import type {StopReply} from './stop-reply.js';
 import type {TargetRecord} from './target-record.js';
 
-/** Never throws and always settles within its own time limits. Each order names the life it's meant for. */
+/** Never rejects, and settles within the time limit of each order. Each order names the incarnation it is meant for. */
 export abstract class TargetOrders {
 	abstract start(target: TargetRecord, order: StartOrder): Promise<StartReply>;
 
@@ -15,6 +15,6 @@
 
 	abstract renew(target: TargetRecord, order: RenewalOrder): Promise<RenewalReply>;
 
-	/** Closes the connections to a target that is no longer ordered from here. */
+	/** Closes the connections to a target that gets no more orders. */
 	abstract disconnect(target: TargetRecord): void;
 }
--- a/src/features/targets/target-record.ts
+++ b/src/features/targets/target-record.ts
@@ -1,14 +1,14 @@
-/** A target as the catalogue lists it. */
+/** A target's record in the catalogue. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Incarnation} from '../../base/incarnation.js';
 import type {InstanceId} from '../../base/instance-id.js';
 import type {Resources} from '../../base/resources.js';
 import type {ServiceName} from '../../base/service-name.js';
 
-/** One life of a target. A target that crashed may come back under the same id, as another incarnation. */
+/** Describes one incarnation of a target. A target that crashed may return under the same id as another incarnation. */
 export type TargetRecord = {
 	readonly id: InstanceId;
-	/** Nothing where the platform doesn't state it: there each life has an id of its own. */
+	/** Undefined if the platform doesn't provide it; each incarnation has its own id then. */
 	readonly incarnation: Incarnation | undefined;
 	/** `IP:port` of its orders interface. */
 	readonly address: string;
--- a/src/features/targets/zone-evacuations.ts
+++ b/src/features/targets/zone-evacuations.ts
@@ -1,10 +1,10 @@
-/** Zones that operators want emptied. */
+/** Zones that operators evacuate. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Disposable} from '../../base/disposable.js';
 import {Emitter} from '../../base/emitter.js';
 import type {Journal} from '../../runtime/journal/journal.js';
 
-/** The targets of an evacuated zone get no new tasks and finish those they have, until the zone is taken back. */
+/** Targets of an evacuated zone get no new tasks and finish their runs, until the evacuation is cancelled. */
 export class ZoneEvacuations implements Disposable {
 	readonly #zones = new Set<AvailabilityZone>();
 	readonly #change = new Emitter<void>();
@@ -19,7 +19,7 @@
 		return this.#zones.has(zone);
 	}
 
-	/** Takes an operator's word on one zone. */
+	/** Starts or cancels the evacuation of a zone. */
 	set(zone: AvailabilityZone, isEvacuated: boolean): void {
 		if (isEvacuated === this.#zones.has(zone)) {
 			return;
@@ -35,7 +35,7 @@
 		this.#change.fire();
 	}
 
-	/** These are all there are. */
+	/** Replaces the set of evacuated zones. */
 	replace(zones: ReadonlySet<AvailabilityZone>): void {
 		for (const zone of new Set([...this.#zones, ...zones])) {
 			this.set(zone, zones.has(zone));
--- a/test/features/execution/report-order.test.ts
+++ b/test/features/execution/report-order.test.ts
@@ -9,7 +9,7 @@
 
 function agesOf(rows: readonly Row[]): readonly string[] {
 	const order = new ReportOrder();
-	return rows.map(([incarnation, clock, askedAtStep]) => order.take({incarnation: incarnation as Incarnation | undefined, clock: clock as TargetTime}, askedAtStep));
+	return rows.map(([incarnation, clock, askedAtStep]) => order.classify({incarnation: incarnation as Incarnation | undefined, clock: clock as TargetTime}, askedAtStep));
 }
 
 test('reports of one life are ordered by its clock', () => {
