--- a/test/features/execution/changing-capacity.test.ts
+++ b/test/features/execution/changing-capacity.test.ts
@@ -1,4 +1,4 @@
-/** Targets whose capacity shrinks and grows while they run tasks. */
+/** Targets whose capacity changes while they run tasks. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {MemberId} from '../../../src/base/member-id.js';
@@ -23,9 +23,8 @@
 	return {...world, ...owner, resize};
 }
 
-// A target that starts whatever it's told to gives half of its processors away while two tasks run there. What runs is left to
-// end; with the room of before the next task would be started beyond what the target has.
-test('a target that has shrunk gets no task before it has room for it by its new capacity', async () => {
+// Guards against starting tasks beyond the new capacity of a target that shrinks while tasks run on it.
+test('a target that has shrunk gets no task until it fits into the new capacity', async () => {
 	const {executor, clock, resize, reports} = await ownerOfTarget();
 	executor.start(requestOf('first', '100'), entry);
 	executor.start(requestOf('second', '300'), entry);
@@ -40,7 +39,7 @@
 	assert.equal(executor.start(requestOf('beside', '100'), entry), undefined);
 });
 
-test('a run that is being stopped holds its room on a target that has shrunk', async () => {
+test('a run that is being stopped keeps its capacity reserved on a target that has shrunk', async () => {
 	const {executor, clock, resize} = await ownerOfTarget();
 	executor.start(requestOf('stopped', '5000'), entry);
 	await passTime(clock, 20);
@@ -58,9 +57,8 @@
 	assert.deepEqual(started, ['target', 'target', 'target', undefined]);
 });
 
-// A target has shrunk, and its own word of that is not read yet. It rejects what it has no room for, and was asked again for
-// each task that waited, a hundred times a second, until the list was read.
-test('a target that rejects a task for want of room is not asked again before it has reported', async () => {
+// A target with an outdated record in the catalogue rejects starts; it must not be asked again for each waiting task.
+test('a target that rejects a task for lack of capacity gets no start until it has reported or changed its capacity', async () => {
 	const {executor, orders, clock, resize, reports} = await ownerOfTarget();
 	orders.guardedCpuMillis.set(target.id, 27_000);
 	executor.start(requestOf('first', '300'), entry);
@@ -71,7 +69,7 @@
 	assert.equal(executor.start(requestOf('third', '100'), entry), undefined);
 	assert.deepEqual(executor.freeCapacity, []);
 	resize(65_000);
-	assert.equal(executor.start(requestOf('after news', '100'), entry), 'target');
+	assert.equal(executor.start(requestOf('after resize', '100'), entry), 'target');
 	await passTime(clock, 20);
 	assert.equal(executor.start(requestOf('fourth', '100'), entry), undefined);
 	await passTime(clock, 300);
--- a/test/features/execution/executor.test.ts
+++ b/test/features/execution/executor.test.ts
@@ -1,4 +1,4 @@
-/** Targets under one owner, and their change to another. */
+/** Execution on targets under one owner, and the change to another owner. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {MemberId} from '../../../src/base/member-id.js';
@@ -10,7 +10,7 @@
 
 const entry = 'entry-1' as MemberId;
 
-/** An owner starts a run on the target named `target`, and gives the target up 300 ms later. */
+/** Starts a run on the target named `target`, and releases the target 300 ms later. */
 async function releaseDuringRun({clock, assign}: ReturnType<typeof executorWorld>, owner: Executor, payload: string) {
 	const target = targetNamed('target');
 	assign(owner, target, 1);
@@ -20,7 +20,7 @@
 	return owner.release(new Set([target.id]));
 }
 
-test('two tasks of 27 cores fit into a target of 64, a third finds no room until one has ended', async () => {
+test('two tasks of 27 cores fit into a target of 64, a third fits once one has ended', async () => {
 	const {clock, executorOf, assign} = executorWorld();
 	const {executor, reports} = executorOf();
 	assign(executor, targetNamed('target'), 1);
@@ -33,9 +33,8 @@
 	assert.equal(executor.start(requestOf('c', '100'), entry), 'target');
 });
 
-// A caller's long task would be killed in the middle: its target keeps running only what holds a lease, which lasts a
-// second. The owner has to renew it all the while.
-test('a task that takes longer than a lease ends well', async () => {
+// The target kills runs whose lease expires, so the owner has to renew the lease of a long run.
+test('a task that takes longer than a lease succeeds', async () => {
 	const {clock, executorOf, assign} = executorWorld();
 	const {executor, reports} = executorOf();
 	assign(executor, targetNamed('target'), 1);
@@ -45,8 +44,8 @@
 	assert.deepEqual(reports.map(({outcome}) => outcome.kind), ['done']);
 });
 
-// A caller would get no answer, or a task would run twice: a target does what it's told but its answer is lost, so that the
-// owner can't know whether the task runs. It orders a stop until that's confirmed, and only then is the task free.
+// The target executes the start but its answer is lost. Reporting the task as gone before its stop is confirmed would let it
+// run twice.
 test('a start without an answer is stopped before the task is reported gone', async () => {
 	const {clock, orders, executorOf, assign} = executorWorld();
 	const {executor, reports} = executorOf();
@@ -57,7 +56,7 @@
 	executor.start(requestOf('doubtful', '5000'), entry);
 	await passTime(clock, 100);
 	assert.deepEqual(orders.running(target.id), ['doubtful']);
-	// The look for it has no answer either.
+	// The poll for the run is unanswered too.
 	await passTime(clock, 180);
 	assert.deepEqual(orders.running(target.id), ['doubtful']);
 	assert.equal(reports.length, 0);
@@ -67,9 +66,8 @@
 	assert.deepEqual(reports.map(({outcome}) => outcome.kind), ['gone']);
 });
 
-// Answers of targets are lost on their way. A task that had been started was stopped again, since nobody knew of it, and begun
-// elsewhere: a short one was late for certain, and its work thrown away.
-test('a task whose start was carried out without an answer goes on where it is', async () => {
+// Guards against stopping a run, and repeating its task elsewhere, only because the answer to its start was lost.
+test('a run continues when its start was executed but the answer was lost', async () => {
 	const {clock, orders, executorOf, assign} = executorWorld();
 	const {executor, reports} = executorOf();
 	const target = targetNamed('target');
@@ -83,10 +81,8 @@
 	assert.equal(orders.starts.length, 2);
 });
 
-// A target never gets one start in twenty-five: its task waits for the time limit, for the stop, and for a report that says
-// that nothing runs there. With 150 ms for the first and a wait of 100 ms for the last, a task of 60 ms began elsewhere after
-// 250 to 350 ms, twice its objective; a job of eight such tasks meets such a start one time in four.
-test('a start that a target never got is known as such within a short task\'s time', async () => {
+// A lost start must be detected quickly enough that a short task can still meet its objective on another target.
+test('a start that never reached its target is reported gone within the duration of a short task', async () => {
 	const {clock, orders, executorOf, assign} = executorWorld();
 	const {executor, reports} = executorOf();
 	const target = targetNamed('target');
@@ -106,9 +102,8 @@
 	assert.deepEqual(orders.running(target.id), ['neighbour']);
 });
 
-// A target goes silent with a task on it. Its lease can't be renewed any more, so that the task has ended when the lease
-// has; before that it must not start elsewhere.
-test('what runs on a silent target is reported gone only after its lease has passed', async () => {
+// A task on a silent target may run until its lease expires and must not start elsewhere before.
+test('a run on a silent target is reported gone only after its lease has expired', async () => {
 	const {clock, orders, executorOf, assign} = executorWorld();
 	const {executor, reports} = executorOf();
 	const target = targetNamed('target');
@@ -127,9 +122,8 @@
 	assert.equal(executor.start(requestOf('next', '100'), entry), undefined);
 });
 
-// An entry leaves while its targets work. The next owner gets its word of them before it owns them, and goes on: no task is
-// stopped or begun again.
-test('tasks go on under the next owner of their target', async () => {
+// A handover that arrives before the change of owner must let runs continue without a stop or a second start.
+test('runs continue under the next owner of their target', async () => {
 	const world = executorWorld();
 	const {clock, orders, executorOf, assign} = world;
 	const first = executorOf();
@@ -148,9 +142,8 @@
 	assert.equal(orders.starts.length, 1);
 });
 
-// An owner dies; its tasks' jobs may be submitted again at once. The next owner finds them on the target, nobody hands them
-// over, and it must not keep them alive.
-test('tasks that nobody handed over are stopped, and room is given only after', async () => {
+// The jobs of an owner that crashed may be resubmitted at once, so the next owner must not renew its runs.
+test('runs that were not handed over are stopped, and nothing is started before they have ended', async () => {
 	const {clock, orders, executorOf, assign} = executorWorld();
 	const first = executorOf();
 	const second = executorOf();
@@ -169,9 +162,8 @@
 	assert.equal(second.executor.start(requestOf('next', '100'), entry), target.id);
 });
 
-// An entry was paused, another owns its target meanwhile. When it wakes its orders carry a lower token: the target rejects
-// them, and the entry must not order it again with that token.
-test('a target that has met a newer owner is not ordered again with the old token', async () => {
+// An entry that was suspended while another one became the owner must stop using its outdated token.
+test('a target that has a newer owner is not ordered again with the rejected token', async () => {
 	const {clock, journal, executorOf, assign} = executorWorld();
 	const first = executorOf();
 	const second = executorOf();
@@ -188,10 +180,9 @@
 	assert.equal(first.executor.ownedTargets, 1);
 });
 
-// A group is dealt anew several times within a second: a target goes from its first owner to a second one, and to a third
-// before the second has renewed anything. The second one told at once that the run was gone, and its task was begun elsewhere
-// while it went on under the first owner's lease.
-test('a run that was adopted is reported gone only when the former owner\'s lease has passed as well', async () => {
+// A target changes owners twice before the second owner has renewed the lease. Reporting the run as gone at once would start
+// its task elsewhere while it continues under the first owner's lease.
+test('an adopted run is reported gone only after the former owner\'s lease has expired as well', async () => {
 	const world = executorWorld();
 	const {clock, orders, executorOf, assign} = world;
 	const [first, second, third] = [executorOf(), executorOf(), executorOf()];
@@ -210,8 +201,8 @@
 	assert.deepEqual([second.reports.map(({outcome}) => outcome.kind), orders.running(target.id)], [['gone'], []]);
 });
 
-// As above, but the target doesn't answer the second owner at all.
-test('a run that was adopted on a silent target is reported gone only after its lease', async () => {
+// As above, with a target that never answers the second owner.
+test('an adopted run on a silent target is reported gone only after its lease has expired', async () => {
 	const world = executorWorld();
 	const {clock, orders, executorOf, assign} = world;
 	const [first, second] = [executorOf(), executorOf()];
--- a/test/features/execution/loss-history.test.ts
+++ b/test/features/execution/loss-history.test.ts
@@ -1,4 +1,4 @@
-/** What is concluded from losses of tasks with their targets. */
+/** Conditions of tasks that were lost with their targets. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {Incarnation} from '../../../src/base/incarnation.js';
@@ -11,89 +11,88 @@
 
 const task = 'job.0.0.0' as TaskId;
 const [first, second] = ['target-1', 'target-2'] as InstanceId[];
-const life = 1 as Incarnation;
-const nextLife = 2 as Incarnation;
+const incarnation = 1 as Incarnation;
+const nextIncarnation = 2 as Incarnation;
 
 function lossOf(target: InstanceId, status: TargetLoss['status']): TargetLoss {
 	return {
-		target, incarnation: life, status, tasks: [task],
+		target, incarnation, status, tasks: [task],
 	};
 }
 
-function bookOf() {
+function createHistory() {
 	const clock = new FakeClock();
-	const book = new LossHistory(clock, new RecordingJournal());
-	const told: TargetLoss[] = [];
-	book.onDidRecord(loss => {
-		told.push(loss);
+	const history = new LossHistory(clock, new RecordingJournal());
+	const recorded: TargetLoss[] = [];
+	history.onDidRecord(loss => {
+		recorded.push(loss);
 	});
-	const barred: TaskId[] = [];
-	book.onDidBlockTask(lost => {
-		barred.push(lost);
+	const blocked: TaskId[] = [];
+	history.onDidBlockTask(lost => {
+		blocked.push(lost);
 	});
 	return {
-		clock, book, told, barred,
+		clock, history, recorded, blocked,
 	};
 }
 
-test('a silent target is known to have crashed once it answers in another life', () => {
-	const {book, told, barred} = bookOf();
-	book.record(lossOf(first!, 'silent'));
-	assert.equal(book.conditionOf(task), 'suspect');
-	book.record(lossOf(second!, 'silent'));
-	assert.equal(book.conditionOf(task), 'suspended');
-	book.recordAnswer(first!, nextLife);
-	assert.equal(book.conditionOf(task), 'suspended');
-	book.recordAnswer(second!, nextLife);
-	assert.deepEqual([book.conditionOf(task), told.map(({status}) => status), barred.length > 0], ['hopeless', ['silent', 'silent', 'down', 'down'], true]);
+test('a silent target counts as crashed once it answers as another incarnation', () => {
+	const {history, recorded, blocked} = createHistory();
+	history.record(lossOf(first!, 'silent'));
+	assert.equal(history.conditionOf(task), 'suspect');
+	history.record(lossOf(second!, 'silent'));
+	assert.equal(history.conditionOf(task), 'suspended');
+	history.recordAnswer(first!, nextIncarnation);
+	assert.equal(history.conditionOf(task), 'suspended');
+	history.recordAnswer(second!, nextIncarnation);
+	assert.deepEqual([history.conditionOf(task), recorded.map(({status}) => status), blocked.length > 0], ['hopeless', ['silent', 'silent', 'down', 'down'], true]);
 });
 
-// Half of the targets are cut off for a while. Tasks that were lost with two of them have done nothing wrong.
-test('a target that answers in the same life was only cut off, and says nothing against its tasks', () => {
-	const {book} = bookOf();
-	book.record(lossOf(first!, 'silent'));
-	book.record(lossOf(second!, 'silent'));
-	book.recordAnswer(first!, life);
-	book.recordAnswer(second!, life);
-	assert.equal(book.conditionOf(task), 'sound');
+// Tasks must not be blocked because their targets were unreachable for a while.
+test('a target that answers as the same incarnation does not count against its tasks', () => {
+	const {history} = createHistory();
+	history.record(lossOf(first!, 'silent'));
+	history.record(lossOf(second!, 'silent'));
+	history.recordAnswer(first!, incarnation);
+	history.recordAnswer(second!, incarnation);
+	assert.equal(history.conditionOf(task), 'sound');
 });
 
-// A zone is cut off just as its targets change owners. The next owner adopts what ran there and never hears of the targets before
-// their leases pass; as they answer again it can't know whether they are in the same life.
-test('a target that was lost before it ever answered its owner isn\'t taken for crashed when it does', () => {
-	const {book} = bookOf();
+// An owner that adopted runs may lose the target before its first answer; it can't detect a restart then.
+test('a target that was lost before its first answer to the owner does not count as crashed', () => {
+	const {history} = createHistory();
 	for (const target of [first!, second!]) {
-		book.record({...lossOf(target, 'silent'), incarnation: undefined});
-		book.recordAnswer(target, life);
+		history.record({...lossOf(target, 'silent'), incarnation: undefined});
+		history.recordAnswer(target, incarnation);
 	}
 
-	assert.equal(book.conditionOf(task), 'sound');
+	assert.equal(history.conditionOf(task), 'sound');
 });
 
-test('a task that its target may never have started is held back for a moment, and never given up for it', () => {
-	const {book, clock} = bookOf();
-	book.record(lossOf(first!, 'unsure'));
-	book.record(lossOf(second!, 'unsure'));
-	assert.equal(book.conditionOf(task), 'suspended');
-	book.recordAnswer(first!, nextLife);
-	book.recordAnswer(second!, nextLife);
-	assert.equal(book.conditionOf(task), 'suspended');
+test('losses before a confirmed start suspend a task temporarily, and never make it hopeless', () => {
+	const {history, clock} = createHistory();
+	history.record(lossOf(first!, 'unsure'));
+	history.record(lossOf(second!, 'unsure'));
+	assert.equal(history.conditionOf(task), 'suspended');
+	history.recordAnswer(first!, nextIncarnation);
+	history.recordAnswer(second!, nextIncarnation);
+	assert.equal(history.conditionOf(task), 'suspended');
 	clock.advance(6000);
-	assert.equal(book.conditionOf(task), 'sound');
+	assert.equal(history.conditionOf(task), 'sound');
 });
 
-test('what another entry tells counts as well, and is not told on', () => {
-	const {book, told} = bookOf();
-	book.apply(lossOf(first!, 'down'));
-	book.apply(lossOf(second!, 'down'));
-	assert.deepEqual([book.conditionOf(task), told], ['hopeless', []]);
+test('reports of other entries count, and are not forwarded', () => {
+	const {history, recorded} = createHistory();
+	history.apply(lossOf(first!, 'down'));
+	history.apply(lossOf(second!, 'down'));
+	assert.deepEqual([history.conditionOf(task), recorded], ['hopeless', []]);
 });
 
-test('losses are forgotten when no caller submits the job any more', () => {
-	const {book, clock} = bookOf();
-	book.apply(lossOf(first!, 'down'));
-	book.apply(lossOf(second!, 'down'));
-	assert.equal(book.isEmpty, false);
+test('losses expire', () => {
+	const {history, clock} = createHistory();
+	history.apply(lossOf(first!, 'down'));
+	history.apply(lossOf(second!, 'down'));
+	assert.equal(history.isEmpty, false);
 	clock.advance(31_000);
-	assert.deepEqual([book.conditionOf(task), book.isEmpty], ['sound', true]);
+	assert.deepEqual([history.conditionOf(task), history.isEmpty], ['sound', true]);
 });
--- a/test/features/execution/response-times.test.ts
+++ b/test/features/execution/response-times.test.ts
@@ -14,7 +14,7 @@
 
 const repeated = (count: number, ...pattern: readonly number[]) => Array.from({length: count}, (_, index) => pattern[index % pattern.length]!);
 
-test('the limit is long until answers were seen, follows them, and stays between its bounds', () => {
+test('the limit is the maximum without enough samples, follows response times, and stays within its bounds', () => {
 	assert.deepEqual({
 		unknown: limitAfter([]),
 		few: limitAfter(repeated(10, 2)),
@@ -26,19 +26,18 @@
 	});
 });
 
-// An entry's machine turns five times slower: its own handling makes up most of what it measures. With the limit of before,
-// it would take every order for lost and stop what it has just started.
-test('the limit has followed before a tenth of the orders of a slowed entry were given up', () => {
+// When an entry slows down, an outdated limit would make it treat every order as lost and stop runs that it just started.
+test('the limit adapts before a tenth of the orders of a slowed entry exceed it', () => {
 	const times = new ResponseTimes();
 	for (const sample of repeated(100, 8, 12)) {
 		times.record(sample);
 	}
 
-	let givenUp = 0;
+	let exceededCount = 0;
 	for (const sample of repeated(200, 40, 60)) {
-		givenUp += sample > times.limitMilliseconds ? 1 : 0;
+		exceededCount += sample > times.limitMilliseconds ? 1 : 0;
 		times.record(sample);
 	}
 
-	assert.equal(givenUp < 20, true, String(givenUp));
+	assert.equal(exceededCount < 20, true, String(exceededCount));
 });
--- a/test/features/execution/restarted-target.test.ts
+++ b/test/features/execution/restarted-target.test.ts
@@ -1,4 +1,4 @@
-/** Targets that start again under their id, and know nothing of before. */
+/** Targets that restart under their id and lose their state. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {FencingToken} from '../../../src/base/fencing-token.js';
@@ -15,7 +15,7 @@
 
 type World = ReturnType<typeof executorWorld>;
 
-/** An owner whose target has ended ten runs. */
+/** Creates an owner whose target has ended ten runs. */
 async function ownerOfBusyTarget(world: World) {
 	const {clock, executorOf, assign} = world;
 	const owner = executorOf();
@@ -31,7 +31,7 @@
 	return {...owner, target};
 }
 
-/** The target is down for a while, and starts again under its id. */
+/** Stops the target for `downMilliseconds` and restarts it under its id. */
 async function restart({clock, orders}: World) {
 	const {id} = targetNamed('target');
 	orders.restart(id);
@@ -41,10 +41,9 @@
 	await passTime(clock, 150);
 }
 
-// Callers waited half a second for the answers of tasks of 60 ms, on every target that had started again under its id. Such a
-// target numbers its ends from one again, while its owner went on to acknowledge the number that it had reached with the
-// former life: the target held each renewal back for its whole wait, since no end had a higher number.
-test('ends on a target that started again under its id are known at once', async () => {
+// A restarted target numbers its ends from 1. Acknowledging the former incarnation's number would delay each end by the whole
+// wait of a renewal.
+test('ends on a target that restarted under its id are reported without delay', async () => {
 	const world = executorWorld();
 	const {executor, reports} = await ownerOfBusyTarget(world);
 	await restart(world);
@@ -53,10 +52,9 @@
 	assert.deepEqual(reports.map(({task, outcome}) => `${task} ${outcome.kind}`), ['short done']);
 });
 
-// A job hung until its caller gave up: its task ran on a target that went down and was back under its id within the lease. The
-// target's clock had started anew, so that its owner took all that it reported for older than the former life's last report,
-// in which the task ran, and waited for an end that nobody could list any more.
-test('what ran on a target before it started again is known to be gone once it reports', async () => {
+// A restart resets the target's clock. Ordering its reports by clock alone would ignore them, and the former incarnation's runs
+// would never end.
+test('runs of a former incarnation are reported gone once the restarted target reports', async () => {
 	const world = executorWorld();
 	const {executor, reports} = await ownerOfBusyTarget(world);
 	executor.start(requestOf('long', '5000'), entry);
@@ -66,9 +64,8 @@
 	assert.equal(world.journal.named('targetRestarted').length, 1);
 });
 
-// A caller got no answer: a target was back under its id before its owner had asked it again, and a task was started there and
-// ended. The owner's next renewal acknowledged the former life's ends up to a higher number, and the target forgot this one.
-test('an end on a restarted target that its owner has not heard of yet is not lost', async () => {
+// Acknowledging the former incarnation's number would make the restarted target discard an end that was never processed.
+test('an end is not lost if the owner has not yet detected the restart', async () => {
 	const world = executorWorld();
 	const {executor, reports, target} = await ownerOfBusyTarget(world);
 	world.orders.restart(target.id);
@@ -78,9 +75,8 @@
 	assert.deepEqual(reports.map(({task, outcome}) => `${task} ${outcome.kind}`), ['quick done']);
 });
 
-// A target starts again while it goes from one owner to the next. The former owner's number of ends says nothing of the next
-// life; taken over with the runs, it made the next owner wait for each end as above.
-test('the next owner of a target that started again knows its ends at once', async () => {
+// The next owner must not use the former owner's acknowledgement for another incarnation.
+test('ends on a target that restarted during a change of owner are reported without delay', async () => {
 	const world = executorWorld();
 	const {executor, target} = await ownerOfBusyTarget(world);
 	const next = world.executorOf();
@@ -96,9 +92,8 @@
 	assert.deepEqual(next.reports.map(({task, outcome}) => `${task} ${outcome.kind}`), ['short done']);
 });
 
-// A target starts again under its id as a smaller machine that starts whatever it's told to. Its entry in the list is still that
-// of its former life, and filled by that it had more on it than it can bear.
-test('a target that started again gets tasks once its own entry is there', async () => {
+// Guards against overloading a target that restarted with less capacity than its outdated record in the catalogue.
+test('a restarted target gets tasks only once the catalogue has its new record', async () => {
 	const world = executorWorld();
 	const {executor, target} = await ownerOfBusyTarget(world);
 	world.assign(executor, {...target, incarnation: 1 as Incarnation}, 1);
@@ -110,12 +105,11 @@
 	assert.equal(executor.start(requestOf('second', '60'), entry), undefined);
 });
 
-// A target that fails all it starts is taken out, for two seconds and longer each time. It's restarted because of that, and its
-// room stood idle although the fault was gone.
-test('a target that was taken out gets tasks again when it has started again', async () => {
+// A restart may have fixed an ejected target, so its capacity must not stay unused until the ejection ends.
+test('an ejected target gets tasks again after a restart', async () => {
 	const world = executorWorld();
 	const {executor, reports, target} = await ownerOfBusyTarget(world);
-	// A zone's only target is never taken out.
+	// The only target of a zone is never ejected.
 	const leaving = {...targetNamed('other'), isDraining: true};
 	executor.assign(new Map([target, leaving].map(listed => [listed.id, {target: listed, fence: 1 as FencingToken}])));
 	for (const job of ['a', 'b', 'c']) {
--- a/test/features/ownership/group-member.test.ts
+++ b/test/features/ownership/group-member.test.ts
@@ -1,4 +1,4 @@
-/** How quickly an entry gets its share of a group. */
+/** Renewal intervals of a group's member. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {OwnershipGroupName} from '../../../src/base/ownership-group-name.js';
@@ -9,18 +9,18 @@
 import {passTime} from '../../support/pass-time.js';
 import {RecordingJournal} from '../../support/recording-journal.js';
 
-/** Gives out its partitions from a certain time on: until then a former life of some entry holds them. */
-class LapsingGroup extends PartitionGroup {
+/** Assigns its partitions from a given time on; until then a former member holds them. */
+class ExpiringGroup extends PartitionGroup {
 	override readonly partitionCount = 24;
 	joins = 0;
 
-	constructor(private readonly clock: FakeClock, private readonly lapsesAt: number) {
+	constructor(private readonly clock: FakeClock, private readonly expiresAt: number) {
 		super();
 	}
 
 	override async join(): Promise<PartitionGrant> {
 		this.joins += 1;
-		const partitions = this.clock.now() < this.lapsesAt ? [] : Array.from({length: this.partitionCount}, (_, index) => index);
+		const partitions = this.clock.now() < this.expiresAt ? [] : Array.from({length: this.partitionCount}, (_, index) => index);
 		return {generation: 1, partitions: new Set(partitions)};
 	}
 
@@ -29,13 +29,13 @@
 	}
 
 	override async leave(): Promise<void> {
-		// The only member doesn't leave here.
+		// Not used by these tests.
 	}
 }
 
-function memberOf(lapsesAfter: number) {
+function memberOf(expiresAfterMilliseconds: number) {
 	const clock = new FakeClock();
-	const store = new LapsingGroup(clock, clock.now() + lapsesAfter);
+	const store = new ExpiringGroup(clock, clock.now() + expiresAfterMilliseconds);
 	const member = new GroupMember({
 		group: 'g' as OwnershipGroupName,
 		member: 'a',
@@ -44,10 +44,10 @@
 		journal: new RecordingJournal(),
 		listener: {
 			onDidChangeClaim() {
-				// Only the claim itself is looked at.
+				// The tests read the claim itself.
 			},
 			async onWillRelease() {
-				// Nothing is released.
+				// No partition is lost in these tests.
 			},
 		},
 	});
@@ -55,15 +55,14 @@
 	return {clock, store, member};
 }
 
-// All entries lose power and are back within two seconds. Their former lives' places in the group lapse a moment after the
-// first renewal, and the targets stand idle until the next one.
+// Former members may expire just after the first renewal; their targets must not stay unused until the next regular one.
 test('a share that becomes free just after the start is had at once', async () => {
 	const {clock, member} = memberOf(100);
 	await passTime(clock, 200);
 	assert.equal(member.claim?.partitions.size, 24);
 });
 
-test('a group that has settled costs three renewals a second', async () => {
+test('a member of a stable group renews about three times a second', async () => {
 	const {clock, store} = memberOf(0);
 	await passTime(clock, 3000);
 	store.joins = 0;
--- a/test/features/ownership/remove-former-members.test.ts
+++ b/test/features/ownership/remove-former-members.test.ts
@@ -1,4 +1,4 @@
-/** What an entry that starts again finds of its former lives. */
+/** Memberships of an entry's former processes. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {OwnershipGroupName} from '../../../src/base/ownership-group-name.js';
@@ -7,8 +7,8 @@
 import {RecordingJournal} from '../../support/recording-journal.js';
 
 const group = 'targets.a' as OwnershipGroupName;
-const formerLife = 'a/10.1.0.2:81/k1';
-const newLife = 'a/10.1.0.2:81/k2';
+const formerMember = 'a/10.1.0.2:81/k1';
+const newMember = 'a/10.1.0.2:81/k2';
 const others = ['a/10.1.0.2:8166/k1', 'a/10.1.0.3:81/k1'];
 
 async function groupOf(members: readonly string[]): Promise<ModelGroup> {
@@ -20,24 +20,23 @@
 	return store;
 }
 
-// All entries of a zone are killed and start again within a second. In the group their former lives hold all targets for
-// longer than that, so that nobody starts anything, and callers are refused.
-test('an entry that starts again has its former life\'s targets at once', async () => {
-	const store = await groupOf([formerLife]);
-	assert.equal((await store.join(group, newLife, 0))!.partitions.size, 0);
-	assert.equal(await removeFormerMembers({group, member: newLife}, store, new RecordingJournal()), true);
-	assert.equal((await store.join(group, newLife, 100))!.partitions.size, store.partitionCount);
+// After all entries of a zone were killed and restarted, their former members would hold all targets until they expire.
+test('a restarted entry gets its former targets at once', async () => {
+	const store = await groupOf([formerMember]);
+	assert.equal((await store.join(group, newMember, 0))!.partitions.size, 0);
+	assert.equal(await removeFormerMembers({group, member: newMember}, store, new RecordingJournal()), true);
+	assert.equal((await store.join(group, newMember, 100))!.partitions.size, store.partitionCount);
 });
 
-test('the places of other addresses, and its own, stay as they are', async () => {
-	const store = await groupOf([...others, newLife]);
+test('members with other addresses, and the entry itself, are not removed', async () => {
+	const store = await groupOf([...others, newMember]);
 	const before = await store.holders(group);
-	assert.equal(await removeFormerMembers({group, member: newLife}, store, new RecordingJournal()), false);
+	assert.equal(await removeFormerMembers({group, member: newMember}, store, new RecordingJournal()), false);
 	assert.deepEqual(await store.holders(group), before);
 });
 
-test('while the store is away nothing is ended', async () => {
-	const store = await groupOf([formerLife]);
+test('nothing is removed while the store is unavailable', async () => {
+	const store = await groupOf([formerMember]);
 	store.isAway = true;
-	assert.equal(await removeFormerMembers({group, member: newLife}, store, new RecordingJournal()), false);
+	assert.equal(await removeFormerMembers({group, member: newMember}, store, new RecordingJournal()), false);
 });
