--- a/src/features/execution/choose-target.ts
+++ b/src/features/execution/choose-target.ts
@@ -2,9 +2,9 @@
 import {jobOfTask} from '../../base/job-of-task.js';
 import type {Resources} from '../../base/resources.js';
 import type {TargetHealth} from '../placement/target-health.js';
-import {satisfiesConstraints} from './satisfies-constraints.js';
 import type {LossHistory} from './loss-history.js';
 import type {RunRequest} from './run-request.js';
+import {satisfiesConstraints} from './satisfies-constraints.js';
 import type {TargetSession} from './target-session.js';
 
 /** Maximum number of tasks of a job that may probe a target; a failed probe delays or fails its whole job. */
--- a/src/features/execution/loss-history.ts
+++ b/src/features/execution/loss-history.ts
@@ -7,10 +7,10 @@
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {TargetLoss} from './target-loss.js';
 
-/** Number of targets that may crash under a task before it is given up. */
-const maxCrashes = 2;
-/** Number of losses of any kind after which a task isn't started until the targets' state is known. */
-const maxLosses = 2;
+/** Number of targets that crashed under a task from which on it is given up. */
+const crashesUntilHopeless = 2;
+/** Number of losses of any kind from which on a task isn't started until the targets' state is known. */
+const lossesUntilSuspended = 2;
 /** How long a loss counts if the task's start was never confirmed. */
 const unconfirmedRetentionMilliseconds = 5000;
 /** How long losses are kept; longer than callers resubmit a job. */
@@ -67,11 +67,11 @@
 			return 'sound';
 		}
 
-		if (losses.filter(({kind}) => kind === 'crash').length >= maxCrashes) {
+		if (losses.filter(({kind}) => kind === 'crash').length >= crashesUntilHopeless) {
 			return 'hopeless';
 		}
 
-		return losses.length >= maxLosses ? 'suspended' : 'suspect';
+		return losses.length >= lossesUntilSuspended ? 'suspended' : 'suspect';
 	}
 
 	/** Records the loss of one of this entry's targets. Ignored without tasks. */
--- a/src/features/execution/renewal-plan.ts
+++ b/src/features/execution/renewal-plan.ts
@@ -12,7 +12,7 @@
 /** The same without runs; shorter than the lease of a run that starts meanwhile. */
 const idleWaitMilliseconds = 600;
 /** Number of consecutive unanswered renewals after which the target gets no new tasks. */
-const maxUnanswered = 2;
+const unansweredUntilUnreachable = 2;
 /** The same while there are unknown runs; short, because nothing can start until they have ended. */
 const unknownRunsWaitMilliseconds = 50;
 
@@ -26,7 +26,7 @@
 	constructor(private readonly lease: LeaseSchedule, private readonly runs: RunTable, private readonly unknownRuns: UnknownRuns) {}
 
 	get isReachable(): boolean {
-		return this.#unanswered < maxUnanswered;
+		return this.#unanswered < unansweredUntilUnreachable;
 	}
 
 	/** The number of the last processed end of the reporting incarnation. */
@@ -47,7 +47,7 @@
 	/** Counts an unanswered renewal; returns whether the target becomes unreachable with it. */
 	recordMissed(): boolean {
 		this.#unanswered += 1;
-		return this.#unanswered === maxUnanswered;
+		return this.#unanswered === unansweredUntilUnreachable;
 	}
 
 	/** Resets the count of unanswered renewals, and returns it. */
@@ -57,6 +57,7 @@
 		return unanswered;
 	}
 
+	/** Returns the parameters of a renewal that is sent at a monotonic time. */
 	next(now: number) {
 		return {acknowledged: this.#acknowledgementToSend(), leaseUntil: this.#leaseToRequest(now), waitMilliseconds: this.#waitToRequest()};
 	}
--- a/src/features/execution/run-settlement.ts
+++ b/src/features/execution/run-settlement.ts
@@ -3,9 +3,9 @@
 import type {Incarnation} from '../../base/incarnation.js';
 import type {TargetRecord} from '../targets/target-record.js';
 import type {LeaseSchedule} from './lease-schedule.js';
+import type {Run} from './run.js';
 import type {RunOutcome} from './run-outcome.js';
 import type {RunTable} from './run-table.js';
-import type {Run} from './run.js';
 import type {SessionListener} from './session-listener.js';
 
 /** Dependencies of the settlement. */
--- a/src/features/execution/run-table.ts
+++ b/src/features/execution/run-table.ts
@@ -3,8 +3,8 @@
 import {jobOfTask} from '../../base/job-of-task.js';
 import type {Resources} from '../../base/resources.js';
 import type {TaskId} from '../../base/task-id.js';
-import {runKeyOf} from './run-key-of.js';
 import type {Run} from './run.js';
+import {runKeyOf} from './run-key-of.js';
 
 type RunIdentity = {readonly task: string; readonly attempt: number};
 
--- a/src/features/execution/target-session.ts
+++ b/src/features/execution/target-session.ts
@@ -7,22 +7,22 @@
 import type {TaskId} from '../../base/task-id.js';
 import type {OrderFailure} from '../targets/order-failure.js';
 import type {TargetRecord} from '../targets/target-record.js';
+import {findOverdueRuns} from './find-overdue-runs.js';
 import type {Handover} from './handover.js';
 import {LeaseSchedule} from './lease-schedule.js';
-import {findOverdueRuns} from './find-overdue-runs.js';
 import {RenewalPlan} from './renewal-plan.js';
 import {Renewals} from './renewals.js';
+import type {Run} from './run.js';
 import {RunControl} from './run-control.js';
 import type {RunRequest} from './run-request.js';
 import {RunSettlement} from './run-settlement.js';
 import {RunTable} from './run-table.js';
-import type {Run} from './run.js';
 import {SessionOrders} from './session-orders.js';
 import type {SessionParts} from './session-parts.js';
 import {slowdownOf} from './slowdown-of.js';
 import {StepCounter} from './step-counter.js';
-import {UnknownRuns} from './unknown-runs.js';
 import {TargetReports} from './target-reports.js';
+import {UnknownRuns} from './unknown-runs.js';
 
 /**
  * Starts and stops runs on one target, renews their lease and processes their ends. The target accepts orders only from the
--- a/src/features/execution/target-sessions.ts
+++ b/src/features/execution/target-sessions.ts
@@ -10,12 +10,12 @@
 import type {TargetOrders} from '../targets/target-orders.js';
 import type {TargetRecord} from '../targets/target-record.js';
 import type {Adoption} from './adoption.js';
-import {ResponseTimes} from './response-times.js';
 import type {Handover} from './handover.js';
 import type {LossHistory} from './loss-history.js';
 import type {OwnedTarget} from './owned-target.js';
-import type {RunOutcome} from './run-outcome.js';
+import {ResponseTimes} from './response-times.js';
 import type {Run} from './run.js';
+import type {RunOutcome} from './run-outcome.js';
 import {TargetSession} from './target-session.js';
 
 /** How long an unused handover is kept; longer than the lease of the runs in it. */
--- a/src/features/ownership/ownership.ts
+++ b/src/features/ownership/ownership.ts
@@ -14,9 +14,9 @@
 import type {TargetOrders} from '../targets/target-orders.js';
 import type {TargetRecord} from '../targets/target-record.js';
 import type {ZoneEvacuations} from '../targets/zone-evacuations.js';
-import {removeFormerMembers} from './remove-former-members.js';
 import {GroupMember} from './group-member.js';
 import type {PartitionGroup} from './partition-group.js';
+import {removeFormerMembers} from './remove-former-members.js';
 
 /** Minimum interval of checks whether an unreachable zone has entries of its own. */
 const coverageCheckMilliseconds = 500;
