--- a/src/features/placement/admission-control.ts
+++ b/src/features/placement/admission-control.ts
@@ -8,13 +8,13 @@
 import {TokenBucket} from './token-bucket.js';
 
 /** Of the tasks of a job, so many in total may be expected to run longer than what the estimate reckons with. */
-const lateTasksOfJob = 0.01;
+const expectedLateTasksPerJob = 0.01;
 /** The queue isn't served strictly in the order of arrival, and what's learned lags: waits turn out this much longer. */
-const waitMargin = 1.25;
-const longestRetryAfterMilliseconds = 10_000;
-const shortestRetryAfterMilliseconds = 100;
+const waitSafetyFactor = 1.25;
+const maximumRetryAfterMilliseconds = 10_000;
+const minimumRetryAfterMilliseconds = 100;
 /** A rate's bucket holds one second's worth, and one job of the largest size. */
-const smallestBurstTasks = 200;
+const minimumBurstTasks = 200;
 
 type Want = Extract<PlacementRequest, {kind: 'want'}>;
 
@@ -25,29 +25,29 @@
 export class AdmissionControl {
 	readonly #buckets = new Map<ProfileName, {readonly rate: number; readonly bucket: TokenBucket}>();
 
-	constructor(private readonly queue: FairQueue, private readonly ledger: SlotTable, private readonly runTimes: RunTimes) {}
+	constructor(private readonly queue: FairQueue, private readonly slotTable: SlotTable, private readonly runTimes: RunTimes) {}
 
 	/** Returns why the job can't be taken, or nothing. */
 	refusalOf(want: Want, now: number): JobRefusal | undefined {
-		return this.#placeable(want) ?? this.#withinCounts(want) ?? this.#withinDeadline(want) ?? this.#withinRate(want, now);
+		return this.#checkPlaceable(want) ?? this.#checkTaskLimits(want) ?? this.#checkDeadline(want) ?? this.#checkRate(want, now);
 	}
 
 	/** How long the last of so many more tasks of a profile would wait for a slot, in milliseconds. */
-	#waitOf(want: Want, tasks: number): number {
+	#expectedWait(want: Want, tasks: number): number {
 		const mean = this.runTimes.mean(want.profile, want.tasks[0]?.declaredMilliseconds);
 		const work = this.queue.workUntilServed(want.profile, want.weight, tasks * mean);
 		// Slots that are free take their tasks at once; with a queue there are none.
 		const isIdle = this.queue.length === 0;
-		const startedAtOnce = isIdle ? this.ledger.freeSlots * mean : 0;
-		return Math.max(0, work - startedAtOnce) / Math.max(1, this.ledger.openSlots);
+		const startedAtOnce = isIdle ? this.slotTable.freeSlots * mean : 0;
+		return Math.max(0, work - startedAtOnce) / Math.max(1, this.slotTable.totalSlots);
 	}
 
-	#placeable(want: Want): JobRefusal | undefined {
-		if (this.ledger.targets.length === 0) {
+	#checkPlaceable(want: Want): JobRefusal | undefined {
+		if (this.slotTable.targets.length === 0) {
 			return {cause: 'noTarget', detail: 'the zone has no target that takes work', retryAfterMilliseconds: 1000};
 		}
 
-		const index = want.tasks.findIndex(task => !this.ledger.isPlaceable({task: {...task, excluded: []}}));
+		const index = want.tasks.findIndex(task => !this.slotTable.isPlaceable({task: {...task, excluded: []}}));
 		if (index === -1) {
 			return undefined;
 		}
@@ -55,14 +55,14 @@
 		return {cause: 'neverPlaceable', detail: `no target of the zone has the size or the labels that task ${index} asks for`};
 	}
 
-	#withinCounts(want: Want): JobRefusal | undefined {
-		const waiting = this.queue.waitingOf(want.profile);
+	#checkTaskLimits(want: Want): JobRefusal | undefined {
+		const waiting = this.queue.waitingTasks(want.profile);
 		const {tasksInFlight, tasksQueued} = want.limits;
-		if (tasksQueued !== undefined && waiting + want.tasks.length > tasksQueued + this.ledger.freeSlots) {
+		if (tasksQueued !== undefined && waiting + want.tasks.length > tasksQueued + this.slotTable.freeSlots) {
 			return {cause: 'queueFull', detail: `${waiting} tasks of the profile wait, ${tasksQueued} may`, retryAfterMilliseconds: this.#retryAfter(want)};
 		}
 
-		const held = tasksInFlight === undefined ? 0 : this.ledger.held.filter(slot => slot.profile === want.profile).length;
+		const held = tasksInFlight === undefined ? 0 : this.slotTable.leasedSlots.filter(slot => slot.profile === want.profile).length;
 		if (tasksInFlight !== undefined && waiting + held + want.tasks.length > tasksInFlight) {
 			return {cause: 'limitReached', detail: `${waiting + held} tasks of the profile are in flight, ${tasksInFlight} may be`, retryAfterMilliseconds: this.#retryAfter(want)};
 		}
@@ -71,21 +71,21 @@
 	}
 
 	/** Refuses what would miss its deadline anyway: it would take slots from what can still make it. */
-	#withinDeadline(want: Want): JobRefusal | undefined {
+	#checkDeadline(want: Want): JobRefusal | undefined {
 		const declared = want.tasks[0]?.declaredMilliseconds;
-		const wait = this.#waitOf(want, want.tasks.length);
-		const slowest = this.runTimes.quantile(want.profile, 1 - (lateTasksOfJob / want.tasks.length), declared);
-		const excess = (wait * waitMargin) + Math.min(slowest, want.limitMilliseconds) - want.remainingMilliseconds;
+		const wait = this.#expectedWait(want, want.tasks.length);
+		const slowRunTime = this.runTimes.quantile(want.profile, 1 - (expectedLateTasksPerJob / want.tasks.length), declared);
+		const excess = (wait * waitSafetyFactor) + Math.min(slowRunTime, want.limitMilliseconds) - want.remainingMilliseconds;
 		if (excess <= 0) {
 			return undefined;
 		}
 
-		const detail = `the answer is expected in ${Math.round(wait + slowest)} ms, the deadline is in ${Math.round(want.remainingMilliseconds)} ms`;
+		const detail = `the answer is expected in ${Math.round(wait + slowRunTime)} ms, the deadline is in ${Math.round(want.remainingMilliseconds)} ms`;
 		// With an empty queue no later time is better: the deadline itself is too short, and no retry is suggested.
 		return wait < 1 ? {cause: 'deadlineUnreachable', detail} : {cause: 'deadlineUnreachable', detail, retryAfterMilliseconds: boundedRetryAfter(excess)};
 	}
 
-	#withinRate(want: Want, now: number): JobRefusal | undefined {
+	#checkRate(want: Want, now: number): JobRefusal | undefined {
 		const rate = want.limits.tasksPerSecond;
 		if (rate === undefined) {
 			return undefined;
@@ -93,7 +93,7 @@
 
 		let limit = this.#buckets.get(want.profile);
 		if (limit?.rate !== rate) {
-			limit = {rate, bucket: new TokenBucket(rate, Math.max(rate, smallestBurstTasks), now)};
+			limit = {rate, bucket: new TokenBucket(rate, Math.max(rate, minimumBurstTasks), now)};
 			this.#buckets.set(want.profile, limit);
 		}
 
@@ -106,10 +106,10 @@
 	}
 
 	#retryAfter(want: Want): number {
-		return boundedRetryAfter(this.#waitOf(want, 0));
+		return boundedRetryAfter(this.#expectedWait(want, 0));
 	}
 }
 
 function boundedRetryAfter(milliseconds: number): number {
-	return Math.ceil(Math.min(longestRetryAfterMilliseconds, Math.max(shortestRetryAfterMilliseconds, milliseconds)));
+	return Math.ceil(Math.min(maximumRetryAfterMilliseconds, Math.max(minimumRetryAfterMilliseconds, milliseconds)));
 }
--- a/src/features/placement/arbiter-election.ts
+++ b/src/features/placement/arbiter-election.ts
@@ -31,15 +31,15 @@
 	static readonly tickMilliseconds = tickMilliseconds;
 
 	readonly #lease: ArbiterLease;
-	readonly #inquiry: SilenceCheck;
+	readonly #silenceCheck: SilenceCheck;
 	readonly #candidacy: Candidacy;
 	#holder: Holder | undefined;
 	#tickedAt: number;
 	#highestEpoch = 0;
 	#hasResigned = false;
-	readonly #gain = new Emitter<RoleTransfer>();
-	readonly #change = new Emitter<Holder | undefined>();
-	readonly #lose = new Emitter<void>();
+	readonly #becameArbiter = new Emitter<RoleTransfer>();
+	readonly #changedHolder = new Emitter<Holder | undefined>();
+	readonly #lostRole = new Emitter<void>();
 
 	constructor(
 		private readonly membership: Membership,
@@ -48,9 +48,9 @@
 		private readonly send: (to: Member, message: ElectionMessage) => void,
 	) {
 		this.#lease = new ArbiterLease(membership, clock, send);
-		this.#inquiry = new SilenceCheck(membership, clock, send);
+		this.#silenceCheck = new SilenceCheck(membership, clock, send);
 		this.#candidacy = new Candidacy({
-			membership, clock, journal, send, inquiry: this.#inquiry,
+			membership, clock, journal, send, silenceCheck: this.#silenceCheck,
 		});
 		this.#tickedAt = clock.now();
 	}
@@ -60,18 +60,18 @@
 	}
 
 	/** Fires when this entry becomes the arbiter. */
-	get onDidGain() {
-		return this.#gain.event;
+	get onDidBecomeArbiter() {
+		return this.#becameArbiter.event;
 	}
 
 	/** Fires when this entry is the arbiter no longer. */
-	get onDidLose() {
-		return this.#lose.event;
+	get onDidLoseRole() {
+		return this.#lostRole.event;
 	}
 
 	/** Fires when another holder is known than before. */
-	get onDidChange() {
-		return this.#change.event;
+	get onDidChangeHolder() {
+		return this.#changedHolder.event;
 	}
 
 	get isArbiter(): boolean {
@@ -94,36 +94,36 @@
 		}
 
 		if (this.#hasResigned || wasPaused) {
-			this.#candidacy.resetSilence();
+			this.#candidacy.resetSilenceTimer();
 			return;
 		}
 
-		if (this.#candidacy.seek(this.#holder?.member)) {
-			this.#take({kind: 'takeover'});
+		if (this.#candidacy.shouldTakeOver(this.#holder?.member)) {
+			this.#becomeArbiter({kind: 'takeover'});
 		}
 	}
 
 	receive(from: Member, message: ElectionMessage): void {
 		match(message)
 			.with({kind: 'holds'}, announcement => {
-				this.#hearHolder(from, announcement);
+				this.#receiveAnnouncement(from, announcement);
 			})
 			.with({kind: 'heard'}, ({stamp}) => {
-				this.#lease.acknowledged(stamp);
+				this.#lease.recordAcknowledgement(stamp);
 			})
 			.with({kind: 'who'}, ({zone}) => {
-				this.#tellHolder(from, zone);
+				this.#sendHolder(from, zone);
 			})
 			.with({kind: 'nobody'}, () => undefined)
 			.with({kind: 'alive'}, ({about}) => {
-				this.#inquiry.testify(from, about);
+				this.#silenceCheck.replyTo(from, about);
 			})
 			.with({kind: 'aliveReply'}, reply => {
-				this.#inquiry.takeReply(reply);
+				this.#silenceCheck.recordReply(reply);
 			})
 			.with({kind: 'handover'}, ({epoch, held}) => {
 				this.#highestEpoch = Math.max(this.#highestEpoch, epoch);
-				this.#take({kind: 'handover', held});
+				this.#becomeArbiter({kind: 'handover', held});
 			})
 			.exhaustive();
 	}
@@ -140,8 +140,8 @@
 	/** Gives the office up for good, to the successor that's returned; none where the entry isn't the holder. */
 	resign(held: Extract<ElectionMessage, {kind: 'handover'}>['held']): Member | undefined {
 		this.#hasResigned = true;
-		const awake = zonePeersOf(this.membership).filter(member => !this.membership.isSilent(member.id));
-		const [successor] = rankByKey(this.membership.self.zone, awake, member => member.instance);
+		const responsive = zonePeersOf(this.membership).filter(member => !this.membership.isSilent(member.id));
+		const [successor] = rankByKey(this.membership.self.zone, responsive, member => member.instance);
 		if (!this.isArbiter || successor === undefined) {
 			return undefined;
 		}
@@ -151,9 +151,9 @@
 	}
 
 	dispose(): void {
-		this.#gain.dispose();
-		this.#lose.dispose();
-		this.#change.dispose();
+		this.#becameArbiter.dispose();
+		this.#lostRole.dispose();
+		this.#changedHolder.dispose();
 	}
 
 	#tickAsHolder(wasPaused: boolean): void {
@@ -161,14 +161,14 @@
 		if (wasPaused) {
 			this.journal.record('tenurePaused', {epoch: this.#holder!.epoch});
 			this.#stepDown();
-			this.#candidacy.startAgain();
+			this.#candidacy.restart();
 			return;
 		}
 
 		this.#lease.renew(this.#holder!.epoch);
 	}
 
-	#hearHolder(from: Member, announcement: Extract<ElectionMessage, {kind: 'holds'}>): void {
+	#receiveAnnouncement(from: Member, announcement: Extract<ElectionMessage, {kind: 'holds'}>): void {
 		// Within a zone pings tell who is there; a holder that asks another zone has nobody else to ask.
 		if (announcement.zone !== this.membership.self.zone) {
 			this.send(from, {kind: 'heard', stamp: announcement.stamp});
@@ -176,15 +176,15 @@
 		}
 
 		this.#highestEpoch = Math.max(this.#highestEpoch, announcement.epoch);
-		const heard: Holder = {member: announcement.holder, epoch: announcement.epoch};
-		if (this.#holder !== undefined && this.#holder.member !== heard.member && !isLater(heard, this.#holder)) {
+		const announced: Holder = {member: announcement.holder, epoch: announcement.epoch};
+		if (this.#holder !== undefined && this.#holder.member !== announced.member && !supersedes(announced, this.#holder)) {
 			return;
 		}
 
-		this.#candidacy.resetSilence();
-		this.#inquiry.close();
-		if (this.#holder?.member === heard.member) {
-			this.#holder = heard;
+		this.#candidacy.resetSilenceTimer();
+		this.#silenceCheck.cancel();
+		if (this.#holder?.member === announced.member) {
+			this.#holder = announced;
 			return;
 		}
 
@@ -192,10 +192,10 @@
 			this.#stepDown();
 		}
 
-		this.#setHolder(heard);
+		this.#setHolder(announced);
 	}
 
-	#tellHolder(to: Member, zone: Member['zone']): void {
+	#sendHolder(to: Member, zone: Member['zone']): void {
 		if (this.#holder === undefined || zone !== this.membership.self.zone) {
 			this.send(to, {kind: 'nobody', zone});
 			return;
@@ -206,27 +206,27 @@
 		});
 	}
 
-	#take(succession: RoleTransfer): void {
+	#becomeArbiter(transfer: RoleTransfer): void {
 		this.#highestEpoch += 1;
-		this.#lease.begin();
+		this.#lease.reset();
 		this.#setHolder({member: this.membership.self.id, epoch: this.#highestEpoch});
-		this.journal.record('tenureTaken', {epoch: this.#highestEpoch, zone: this.membership.self.zone, manner: succession.kind});
-		this.#gain.fire(succession);
+		this.journal.record('tenureTaken', {epoch: this.#highestEpoch, zone: this.membership.self.zone, manner: transfer.kind});
+		this.#becameArbiter.fire(transfer);
 		this.#lease.announce(this.#highestEpoch);
 	}
 
 	#stepDown(): void {
 		this.journal.record('tenureLost', {epoch: this.#holder!.epoch, zone: this.membership.self.zone});
 		this.#setHolder(undefined);
-		this.#lose.fire();
+		this.#lostRole.fire();
 	}
 
 	#setHolder(holder: Holder | undefined): void {
 		this.#holder = holder;
-		this.#change.fire(holder);
+		this.#changedHolder.fire(holder);
 	}
 }
 
-function isLater(left: Holder, right: Holder): boolean {
+function supersedes(left: Holder, right: Holder): boolean {
 	return left.epoch > right.epoch || (left.epoch === right.epoch && left.member > right.member);
 }
--- a/src/features/placement/arbiter-lease.ts
+++ b/src/features/placement/arbiter-lease.ts
@@ -7,9 +7,9 @@
 import {zonePeersOf} from './zone-peers-of.js';
 
 /** News are told at once; this only repairs a lost message. */
-const announceMilliseconds = 5000;
+const announcementPeriodMilliseconds = 5000;
 /** How often peers of other zones are asked for a sign of life when none of the own zone gives one. */
-const witnessMilliseconds = 400;
+const witnessQueryPeriodMilliseconds = 400;
 /** A holder grants for so long after the sending of a ping, or an announcement, that some peer answered. */
 const leaseMilliseconds = 1600;
 
@@ -17,7 +17,7 @@
 export class ArbiterLease {
 	#acknowledgedAt = Number.NEGATIVE_INFINITY;
 	#announcedAt = Number.NEGATIVE_INFINITY;
-	#askedWitnessesAt = Number.NEGATIVE_INFINITY;
+	#queriedWitnessesAt = Number.NEGATIVE_INFINITY;
 
 	constructor(
 		private readonly membership: Membership,
@@ -27,45 +27,45 @@
 
 	/** Whether no other entry can have taken the office. */
 	get isValid(): boolean {
-		return !this.#hasRivals() || this.clock.now() - this.#reachedAt() < leaseMilliseconds;
+		return !this.#hasCompetitors() || this.clock.now() - this.#answeredSendTime() < leaseMilliseconds;
 	}
 
 	/** Forgets the answers to an earlier tenure. */
-	begin(): void {
+	reset(): void {
 		this.#acknowledgedAt = Number.NEGATIVE_INFINITY;
 	}
 
 	/** Tells the zone who holds the office. */
 	announce(epoch: number): void {
-		this.#tell(epoch, zonePeersOf(this.membership));
+		this.#sendAnnouncement(epoch, zonePeersOf(this.membership));
 	}
 
 	/** A peer of another zone answered the announcement that was sent then. */
-	acknowledged(stamp: number): void {
+	recordAcknowledgement(stamp: number): void {
 		this.#acknowledgedAt = Math.max(this.#acknowledgedAt, stamp);
 	}
 
 	/** Repeats the announcement now and then, and asks other zones when half of the lease is over. */
 	renew(epoch: number): void {
 		const now = this.clock.now();
-		if (now - this.#announcedAt >= announceMilliseconds) {
+		if (now - this.#announcedAt >= announcementPeriodMilliseconds) {
 			this.#announcedAt = now;
 			this.announce(epoch);
 		}
 
-		if (this.#hasRivals() && now - this.#reachedAt() > leaseMilliseconds / 2 && now - this.#askedWitnessesAt >= witnessMilliseconds) {
-			this.#askedWitnessesAt = now;
-			this.#tell(epoch, this.#witnesses());
+		if (this.#hasCompetitors() && now - this.#answeredSendTime() > leaseMilliseconds / 2 && now - this.#queriedWitnessesAt >= witnessQueryPeriodMilliseconds) {
+			this.#queriedWitnessesAt = now;
+			this.#sendAnnouncement(epoch, this.#witnesses());
 		}
 	}
 
 	/** Whether the zone has, or may have, another entry that could take the office. */
-	#hasRivals(): boolean {
+	#hasCompetitors(): boolean {
 		return zonePeersOf(this.membership).length > 0 || this.membership.isUnresolved(this.membership.self.zone);
 	}
 
 	/** When the holder last sent something that a peer answered. */
-	#reachedAt(): number {
+	#answeredSendTime(): number {
 		const inZone = zonePeersOf(this.membership).map(member => this.membership.reachedAt(member.id) ?? Number.NEGATIVE_INFINITY);
 		return Math.max(this.#acknowledgedAt, ...inZone);
 	}
@@ -78,7 +78,7 @@
 		return [...zones].flatMap(zone => rankByKey(self.instance, this.membership.inZone(zone), member => member.instance).slice(0, 1));
 	}
 
-	#tell(epoch: number, members: readonly Member[]): void {
+	#sendAnnouncement(epoch: number, members: readonly Member[]): void {
 		const {self} = this.membership;
 		for (const member of members) {
 			this.send(member, {
--- a/src/features/placement/arbiter-session.ts
+++ b/src/features/placement/arbiter-session.ts
@@ -10,26 +10,26 @@
 import type {PendingSlotRequest} from './pending-slot-request.js';
 
 /** Every request shows that this entry is awake; without one for so long, a renewal does. */
-const renewMilliseconds = 250;
+const renewalPeriodMilliseconds = 250;
 /** Counts are compared this often in any case. */
-const compareMilliseconds = 2000;
+const comparisonPeriodMilliseconds = 2000;
 
-type Held = {readonly target: TargetAddress; readonly profile: PendingSlotRequest['want']['profile']; readonly endsAt: number};
+type HeldSlot = {readonly target: TargetAddress; readonly profile: PendingSlotRequest['request']['profile']; readonly endsAt: number};
 
 /** Tells a new arbiter of all that is open, and searches for one where none is known. */
 export class ArbiterSession {
-	readonly wishes = new Map<TicketId, PendingSlotRequest>();
-	readonly held = new Map<TicketId, Held>();
+	readonly pendingRequests = new Map<TicketId, PendingSlotRequest>();
+	readonly heldSlots = new Map<TicketId, HeldSlot>();
 	#arbiter: MemberId | undefined;
 	/** When the arbiter was sent something last, and when a renewal. */
-	#askedAt = Number.NEGATIVE_INFINITY;
+	#requestedAt = Number.NEGATIVE_INFINITY;
 	#renewedAt = Number.NEGATIVE_INFINITY;
 
 	constructor(
 		readonly zone: AvailabilityZone,
 		private readonly membership: Membership,
 		private readonly clock: Clock,
-		private readonly post: ArbiterTransport,
+		private readonly transport: ArbiterTransport,
 	) {}
 
 	get arbiter(): MemberId | undefined {
@@ -37,22 +37,22 @@
 	}
 
 	get #isIdle(): boolean {
-		return this.wishes.size + this.held.size === 0;
+		return this.pendingRequests.size + this.heldSlots.size === 0;
 	}
 
 	/** Asks the arbiter, or for it; a new one learns of the request with all that is open. */
-	ask(request: PlacementRequest): void {
+	sendOrSearch(request: PlacementRequest): void {
 		if (this.#arbiter === undefined) {
-			this.#search();
+			this.#searchArbiter();
 		} else {
-			this.#request(this.#arbiter, request);
+			this.#sendRequest(this.#arbiter, request);
 		}
 	}
 
 	/** Tells the arbiter, if there is one, what a new one needn't know. */
-	tell(request: PlacementRequest): void {
+	sendIfKnown(request: PlacementRequest): void {
 		if (this.#arbiter !== undefined) {
-			this.#request(this.#arbiter, request);
+			this.#sendRequest(this.#arbiter, request);
 		}
 	}
 
@@ -62,12 +62,12 @@
 		}
 
 		if (this.#arbiter === undefined) {
-			this.#search();
+			this.#searchArbiter();
 			return;
 		}
 
 		const now = this.clock.now();
-		if (now - this.#askedAt >= renewMilliseconds || now - this.#renewedAt >= compareMilliseconds) {
+		if (now - this.#requestedAt >= renewalPeriodMilliseconds || now - this.#renewedAt >= comparisonPeriodMilliseconds) {
 			this.#renew(this.#arbiter);
 		}
 	}
@@ -98,36 +98,36 @@
 	}
 
 	/** A member isn't the arbiter any more. */
-	resigned(member: MemberId): void {
+	arbiterResigned(member: MemberId): void {
 		if (this.#arbiter === member) {
 			this.#arbiter = undefined;
-			this.#search();
+			this.#searchArbiter();
 		}
 	}
 
 	sendInventory(to: MemberId): void {
 		const now = this.clock.now();
-		const held = [...this.held].map(([ticket, {target, profile, endsAt}]) => ({
+		const held = [...this.heldSlots].map(([ticket, {target, profile, endsAt}]) => ({
 			ticket, target: target.id, profile, endsInMilliseconds: endsAt - now,
 		}));
-		this.post.request(to, {kind: 'inventory', held, waiting: [...this.wishes.keys()]});
+		this.transport.sendRequest(to, {kind: 'inventory', held, waiting: [...this.pendingRequests.keys()]});
 	}
 
-	#search(): void {
+	#searchArbiter(): void {
 		for (const member of this.membership.inZone(this.zone)) {
 			if (member.id !== this.membership.self.id) {
-				this.post.queryArbiter(member, this.zone);
+				this.transport.queryArbiter(member, this.zone);
 			}
 		}
 	}
 
 	#renew(arbiter: MemberId): void {
 		this.#renewedAt = this.clock.now();
-		this.#request(arbiter, {kind: 'renew', held: this.held.size, waiting: this.wishes.size});
+		this.#sendRequest(arbiter, {kind: 'renew', held: this.heldSlots.size, waiting: this.pendingRequests.size});
 	}
 
-	#request(arbiter: MemberId, request: PlacementRequest): void {
-		this.#askedAt = this.clock.now();
-		this.post.request(arbiter, request);
+	#sendRequest(arbiter: MemberId, request: PlacementRequest): void {
+		this.#requestedAt = this.clock.now();
+		this.transport.sendRequest(arbiter, request);
 	}
 }
--- a/src/features/placement/arbiter-transport.ts
+++ b/src/features/placement/arbiter-transport.ts
@@ -6,7 +6,7 @@
 
 /** A message to this entry itself is delivered too. */
 export type ArbiterTransport = {
-	readonly request: (to: MemberId, request: PlacementRequest) => void;
+	readonly sendRequest: (to: MemberId, request: PlacementRequest) => void;
 	/** Asks an entry of a zone who the arbiter is. */
 	readonly queryArbiter: (of: Member, zone: AvailabilityZone) => void;
 };
--- a/src/features/placement/arbiter.ts
+++ b/src/features/placement/arbiter.ts
@@ -30,7 +30,7 @@
 type Want = Extract<PlacementRequest, {kind: 'want'}>;
 
 /** Sends a reply to a requester, which may be this entry itself. */
-type Outbox = (to: MemberId, reply: PlacementReply) => void;
+type ReplySender = (to: MemberId, reply: PlacementReply) => void;
 
 type ArbiterParts = {
 	readonly zone: AvailabilityZone;
@@ -38,8 +38,8 @@
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly journal: Journal;
-	readonly outbox: Outbox;
-	readonly mayGrant: () => boolean;
+	readonly sendReply: ReplySender;
+	readonly canGrant: () => boolean;
 };
 
 /**
@@ -47,144 +47,144 @@
  * only on messages and on `tick`, and only while `mayGrant` says so.
  */
 export class Arbiter {
-	readonly #ledger: SlotTable;
+	readonly #slotTable: SlotTable;
 	readonly #admission: AdmissionControl;
 	readonly #requesters: Requesters;
-	readonly #waiting: QueuedTasks;
-	readonly #lending: SlotLeases;
+	readonly #queuedTasks: QueuedTasks;
+	readonly #slotLeases: SlotLeases;
 	readonly #reconciliation: Reconciliation;
-	readonly #audit: SlotRecovery;
+	readonly #slotRecovery: SlotRecovery;
 
 	constructor(private readonly parts: ArbiterParts) {
 		const health = new TargetHealth(parts.journal);
-		const ledger = new SlotTable(health);
+		const slotTable = new SlotTable(health);
 		const queue = new FairQueue();
 		const runTimes = new RunTimes();
 		const requesters = new Requesters(parts.clock);
 		const shared = {
-			...parts, health, ledger, queue, runTimes, requesters,
+			...parts, health, slotTable, queue, runTimes, requesters,
 		};
-		const waiting = new QueuedTasks(shared);
-		const lending = new SlotLeases(shared);
-		this.#ledger = ledger;
-		this.#admission = new AdmissionControl(queue, ledger, runTimes);
+		const queuedTasks = new QueuedTasks(shared);
+		const slotLeases = new SlotLeases(shared);
+		this.#slotTable = slotTable;
+		this.#admission = new AdmissionControl(queue, slotTable, runTimes);
 		this.#requesters = requesters;
-		this.#waiting = waiting;
-		this.#lending = lending;
-		this.#reconciliation = new Reconciliation({...shared, waiting, lending});
-		this.#audit = new SlotRecovery(ledger, lending);
+		this.#queuedTasks = queuedTasks;
+		this.#slotLeases = slotLeases;
+		this.#reconciliation = new Reconciliation({...shared, queuedTasks, slotLeases});
+		this.#slotRecovery = new SlotRecovery(slotTable, slotLeases);
 	}
 
 	get freeSlots(): number {
-		return this.#ledger.freeSlots;
+		return this.#slotTable.freeSlots;
 	}
 
 	get queuedTasks(): number {
-		return this.#waiting.size;
+		return this.#queuedTasks.size;
 	}
 
 	/** All slots that are lent, for a successor. */
-	get lentSlots(): readonly LeasedSlot[] {
-		return this.#ledger.held;
+	get leasedSlots(): readonly LeasedSlot[] {
+		return this.#slotTable.leasedSlots;
 	}
 
 	/** Takes over what a predecessor lent. */
-	adoptAll(held: Extract<ElectionMessage, {kind: 'handover'}>['held']): void {
+	adoptSlots(held: Extract<ElectionMessage, {kind: 'handover'}>['held']): void {
 		for (const {requester, ticket, target, profile, endsInMilliseconds} of held) {
-			this.#lending.adopt(requester, {ticket, target, profile}, endsInMilliseconds);
+			this.#slotLeases.adopt(requester, {ticket, target, profile}, endsInMilliseconds);
 		}
 	}
 
 	/** Takes a request with the time that its sender's own clock showed when it was sent. */
 	receive(from: MemberId, stamp: number, request: PlacementRequest): void {
-		const wasAsleep = this.#requesters.heard(from, stamp);
-		if (wasAsleep) {
-			this.#reconciliation.recount(from);
+		const wasSilent = this.#requesters.recordRequest(from, stamp);
+		if (wasSilent) {
+			this.#reconciliation.requestInventory(from);
 		}
 
 		match(request)
 			.with({kind: 'want'}, want => {
-				this.#want(from, want);
+				this.#receiveWant(from, want);
 			})
 			.with({kind: 'release'}, release => {
-				this.#lending.release(from, release);
+				this.#slotLeases.release(from, release);
 			})
 			.with({kind: 'withdraw'}, ({tickets}) => {
-				this.#waiting.withdraw(from, tickets);
+				this.#queuedTasks.withdraw(from, tickets);
 			})
 			.with({kind: 'renew'}, renewal => {
 				this.#reconciliation.compareCounts(from, renewal);
 			})
 			.with({kind: 'inventory'}, inventory => {
-				this.#reconciliation.takeInventory(from, inventory);
+				this.#reconciliation.applyInventory(from, inventory);
 			})
 			.exhaustive();
-		this.#place();
+		this.#placeQueuedTasks();
 	}
 
 	setTargets(instances: readonly Instance[]): void {
-		this.#ledger.setTargets(instances.filter(instance => instance.kind === 'target' && instance.zone === this.parts.zone));
-		this.#place();
+		this.#slotTable.setTargets(instances.filter(instance => instance.kind === 'target' && instance.zone === this.parts.zone));
+		this.#placeQueuedTasks();
 	}
 
 	/** Withholds every slot that isn't accounted for, since the former arbiter may have lent it. */
 	beginQuarantine(): void {
-		this.#audit.beginQuarantine();
+		this.#slotRecovery.beginQuarantine();
 	}
 
 	get quarantinedTargets(): readonly Instance[] {
-		return this.#audit.quarantinedTargets;
+		return this.#slotRecovery.quarantinedTargets;
 	}
 
 	/** Ends all quarantine: every lease of the former arbiter has ended by now. */
 	endQuarantine(): void {
-		this.#audit.endQuarantine();
-		this.#place();
+		this.#slotRecovery.endQuarantine();
+		this.#placeQueuedTasks();
 	}
 
 	/** Targets that run tasks of entries that are gone. */
 	get orphanedTargets(): readonly Instance[] {
-		return this.#audit.orphanedTargets;
+		return this.#slotRecovery.orphanedTargets;
 	}
 
 	/** Takes a target's own word on what it runs. */
-	takeUsage(target: InstanceId, usage: TargetUsage): void {
-		this.#audit.takeUsage(target, usage);
-		this.#place();
+	applyUsage(target: InstanceId, usage: TargetUsage): void {
+		this.#slotRecovery.applyUsage(target, usage);
+		this.#placeQueuedTasks();
 	}
 
 	/** Grants may have been lost with the connection: the requester is asked what it has. */
 	requesterReconnected(member: MemberId): void {
 		if (this.#requesters.has(member)) {
-			this.#reconciliation.recount(member);
+			this.#reconciliation.requestInventory(member);
 		}
 	}
 
 	/** A requester is gone for good: what it waits for is dropped, what it held stays taken until it has surely ended. */
-	forget(requester: MemberId): void {
-		this.#requesters.forget(requester);
-		this.#waiting.dropAll(requester);
-		this.#ledger.orphan(requester);
-		this.#place();
+	removeRequester(requester: MemberId): void {
+		this.#requesters.remove(requester);
+		this.#queuedTasks.removeAll(requester);
+		this.#slotTable.orphan(requester);
+		this.#placeQueuedTasks();
 	}
 
 	/** Ends leases, and refuses what can't make its deadline any more. */
 	tick(): void {
-		this.#lending.endLeases();
+		this.#slotLeases.expireLeases();
 		// The wishes of a requester that fell silent would stand before those of others and get nothing. They are dropped,
 		// and asked for again when it's heard: the requester keeps them.
-		for (const requester of this.#requesters.takeSilent()) {
-			this.#waiting.dropAll(requester);
+		for (const requester of this.#requesters.takeNewlySilent()) {
+			this.#queuedTasks.removeAll(requester);
 		}
 
-		for (const ticket of this.#waiting.late(this.parts.clock.now())) {
-			this.#refuseLate(ticket);
+		for (const ticket of this.#queuedTasks.expired(this.parts.clock.now())) {
+			this.#refuseExpired(ticket);
 		}
 
-		this.#place();
+		this.#placeQueuedTasks();
 	}
 
-	#want(from: MemberId, want: Want): void {
+	#receiveWant(from: MemberId, want: Want): void {
 		const isNew = want.tasks.some(task => !this.#isKnown(task.ticket));
 		if (!want.isAdmitted && isNew) {
 			const refusal = this.#admission.refusalOf(want, this.parts.clock.now());
@@ -196,38 +196,38 @@
 
 		for (const task of want.tasks) {
 			if (!this.#isKnown(task.ticket)) {
-				this.#waiting.add(from, want, task);
+				this.#queuedTasks.add(from, want, task);
 			}
 		}
 	}
 
 	#isKnown(ticket: TicketId): boolean {
-		return this.#waiting.has(ticket) || this.#ledger.slotOf(ticket) !== undefined;
+		return this.#queuedTasks.has(ticket) || this.#slotTable.slotOf(ticket) !== undefined;
 	}
 
 	/** Lends free slots until there are none, or nobody waits who can use one. */
-	#place(): void {
+	#placeQueuedTasks(): void {
 		const grants = new Map<MemberId, Array<Extract<PlacementReply, {kind: 'granted'}>['grants'][number]>>();
-		while (this.parts.mayGrant()) {
-			const next = this.#waiting.takeNext();
+		while (this.parts.canGrant()) {
+			const next = this.#queuedTasks.takeNext();
 			if (next === undefined) {
 				break;
 			}
 
 			const {ticket, instance} = next;
-			this.#lending.lend(ticket, instance);
+			this.#slotLeases.grant(ticket, instance);
 			const list = grants.get(ticket.requester) ?? [];
 			grants.set(ticket.requester, list);
 			list.push({ticket: ticket.task.ticket, target: {id: instance.id, address: instance.address}});
 		}
 
 		for (const [requester, list] of grants) {
-			this.parts.outbox(requester, {kind: 'granted', echo: this.#requesters.stampOf(requester), grants: list});
+			this.parts.sendReply(requester, {kind: 'granted', echo: this.#requesters.lastStampOf(requester), grants: list});
 		}
 	}
 
-	#refuseLate(ticket: QueuedTask): void {
-		this.#waiting.drop(ticket);
+	#refuseExpired(ticket: QueuedTask): void {
+		this.#queuedTasks.remove(ticket);
 		this.#refuse(ticket.requester, [ticket.task.ticket], {cause: 'deadlineUnreachable', detail: 'the deadline passed while the task waited for a slot', retryAfterMilliseconds: 1000});
 	}
 
@@ -235,6 +235,6 @@
 		this.parts.journal.record('wishRefused', {
 			tickets: tickets.length, first: tickets[0], cause: refusal.cause, requester: to,
 		});
-		this.parts.outbox(to, {kind: 'refused', tickets: [...tickets], ...refusal});
+		this.parts.sendReply(to, {kind: 'refused', tickets: [...tickets], ...refusal});
 	}
 }
--- a/src/features/placement/candidacy.ts
+++ b/src/features/placement/candidacy.ts
@@ -12,78 +12,78 @@
 /** A holder that nobody heard for so long has certainly stopped granting, whatever it still believes. */
 const holderSilenceMilliseconds = 2500;
 /** How often an entry that knows of no holder asks for one. */
-const askMilliseconds = 200;
+const queryPeriodMilliseconds = 200;
 /** How long an entry that knows of no holder asks before it may take the office. */
-const askingMilliseconds = 300;
+const searchMilliseconds = 300;
 
 type CandidacyParts = {
 	readonly membership: Membership;
 	readonly clock: Clock;
 	readonly journal: Journal;
-	readonly inquiry: SilenceCheck;
+	readonly silenceCheck: SilenceCheck;
 	readonly send: (to: Member, message: ElectionMessage) => void;
 };
 
 /** Only the first in rank takes the office: a vacant one when nobody told of a holder, a silent one's on witnesses' word. */
 export class Candidacy {
 	#heardAt: number;
-	#askedAt = Number.NEGATIVE_INFINITY;
-	#askingSince: number;
+	#queriedAt = Number.NEGATIVE_INFINITY;
+	#searchingSince: number;
 
 	constructor(private readonly parts: CandidacyParts) {
 		this.#heardAt = parts.clock.now();
-		this.#askingSince = parts.clock.now();
+		this.#searchingSince = parts.clock.now();
 	}
 
 	/** Looks for a holder, or for a sign of life of the known one; returns whether this entry is to take the office now. */
-	seek(holder: MemberId | undefined): boolean {
-		return holder === undefined ? this.#seekVacant() : this.#watchHolder(holder);
+	shouldTakeOver(holder: MemberId | undefined): boolean {
+		return holder === undefined ? this.#checkVacancy() : this.#checkSilence(holder);
 	}
 
 	/** The holder gave a sign of life, or this entry couldn't have heard one. */
-	resetSilence(): void {
+	resetSilenceTimer(): void {
 		this.#heardAt = this.parts.clock.now();
 	}
 
 	/** This entry lost the office in a pause, and doesn't know who has it. */
-	startAgain(): void {
-		this.resetSilence();
-		this.#askingSince = this.parts.clock.now();
+	restart(): void {
+		this.resetSilenceTimer();
+		this.#searchingSince = this.parts.clock.now();
 	}
 
 	/** The holder is gone for certain: there's nobody to ask for. */
 	holderLost(): void {
-		this.#askingSince = Number.NEGATIVE_INFINITY;
+		this.#searchingSince = Number.NEGATIVE_INFINITY;
 	}
 
 	/** Whoever knows of no holder asks; only the first in rank may take the office, when nobody told of one. */
-	#seekVacant(): boolean {
+	#checkVacancy(): boolean {
 		const {membership, clock, send} = this.parts;
 		const now = clock.now();
-		if (now - this.#askedAt >= askMilliseconds) {
-			this.#askedAt = now;
+		if (now - this.#queriedAt >= queryPeriodMilliseconds) {
+			this.#queriedAt = now;
 			for (const member of zonePeersOf(membership)) {
 				send(member, {kind: 'who', zone: membership.self.zone});
 			}
 		}
 
-		if (membership.isUnresolved(membership.self.zone) || !this.#isFirst()) {
-			this.#askingSince = Number.isFinite(this.#askingSince) ? now : this.#askingSince;
+		if (membership.isUnresolved(membership.self.zone) || !this.#isFirstInRank()) {
+			this.#searchingSince = Number.isFinite(this.#searchingSince) ? now : this.#searchingSince;
 			return false;
 		}
 
-		return now - this.#askingSince >= askingMilliseconds;
+		return now - this.#searchingSince >= searchMilliseconds;
 	}
 
-	#watchHolder(holder: MemberId): boolean {
-		const {membership, clock, journal, inquiry} = this.parts;
+	#checkSilence(holder: MemberId): boolean {
+		const {membership, clock, journal, silenceCheck} = this.parts;
 		const heardAgo = membership.heardAgo(holder) ?? Number.POSITIVE_INFINITY;
 		if (Math.min(heardAgo, clock.now() - this.#heardAt) <= holderSilenceMilliseconds) {
 			return false;
 		}
 
-		const witnesses = inquiry.witnessesOf(holder);
-		if (witnesses === 0 || !this.#isFirst()) {
+		const witnesses = silenceCheck.pollWitnesses(holder);
+		if (witnesses === 0 || !this.#isFirstInRank()) {
 			return false;
 		}
 
@@ -91,10 +91,10 @@
 		return true;
 	}
 
-	#isFirst(): boolean {
+	#isFirstInRank(): boolean {
 		const {membership} = this.parts;
 		const {self} = membership;
-		const awake = zonePeersOf(membership).filter(member => !membership.isSilent(member.id));
-		return rankByKey(self.zone, [self, ...awake], member => member.instance)[0]?.id === self.id;
+		const responsive = zonePeersOf(membership).filter(member => !membership.isSilent(member.id));
+		return rankByKey(self.zone, [self, ...responsive], member => member.instance)[0]?.id === self.id;
 	}
 }
--- a/src/features/placement/job-queue.ts
+++ b/src/features/placement/job-queue.ts
@@ -7,12 +7,12 @@
 	readonly urgentAt: number;
 	readonly tickets: QueuedTask[];
 	head: number;
-	served: number;
+	servedTasks: number;
 	isDone: boolean;
 };
 
 /** A job that has waited for this share of its time goes first, whatever it got already. */
-const urgentShare = 0.5;
+const urgentAfterShare = 0.5;
 
 /**
  * The job that has got the fewest slots so far is next, among equals the one that came first. A job of one task doesn't
@@ -21,68 +21,68 @@
  */
 export class JobQueue {
 	/** Jobs by the number of slots that they got. */
-	readonly #levels: QueuedJob[][] = [];
+	readonly #jobsByServedTasks: QueuedJob[][] = [];
 	/** In the order of their coming; those that are done are dropped when they come first. */
 	readonly #arrivals: QueuedJob[] = [];
 	readonly #jobs = new Map<SubmissionId, QueuedJob>();
 
 	push(ticket: QueuedTask): void {
 		const {job} = ticket.request;
-		const known = this.#jobs.get(job);
-		if (known !== undefined) {
-			known.tickets.push(ticket);
+		const existing = this.#jobs.get(job);
+		if (existing !== undefined) {
+			existing.tickets.push(ticket);
 			return;
 		}
 
 		const queued: QueuedJob = {
 			id: job,
-			urgentAt: ticket.arrivedAt + ((ticket.deadlineAt - ticket.arrivedAt) * urgentShare),
+			urgentAt: ticket.arrivedAt + ((ticket.deadlineAt - ticket.arrivedAt) * urgentAfterShare),
 			tickets: [ticket],
 			head: 0,
-			served: 0,
+			servedTasks: 0,
 			isDone: false,
 		};
 		this.#jobs.set(job, queued);
 		this.#arrivals.push(queued);
-		this.#enter(queued);
+		this.#addByServedTasks(queued);
 	}
 
 	/** The next ticket, without taking it. */
-	first(now: number): QueuedTask | undefined {
+	peek(now: number): QueuedTask | undefined {
 		const job = this.#firstJob(now);
 		return job?.tickets[job.head];
 	}
 
 	/** Drops the ticket that `first` returns. */
-	takeFirst(now: number): void {
+	shift(now: number): void {
 		const job = this.#firstJob(now);
 		if (job === undefined) {
 			return;
 		}
 
-		const level = this.#levels[job.served]!;
+		const level = this.#jobsByServedTasks[job.servedTasks]!;
 		level.splice(level.indexOf(job), 1);
 		job.head += 1;
-		job.served += 1;
-		this.#skipGone(job);
+		job.servedTasks += 1;
+		this.#skipRemoved(job);
 		if (job.head < job.tickets.length) {
-			this.#enter(job);
+			this.#addByServedTasks(job);
 		} else {
-			this.#forget(job);
+			this.#remove(job);
 		}
 	}
 
-	#forget(job: QueuedJob): void {
+	#remove(job: QueuedJob): void {
 		job.isDone = true;
 		this.#jobs.delete(job.id);
 	}
 
-	#enter(job: QueuedJob): void {
-		while (this.#levels.length <= job.served) {
-			this.#levels.push([]);
+	#addByServedTasks(job: QueuedJob): void {
+		while (this.#jobsByServedTasks.length <= job.servedTasks) {
+			this.#jobsByServedTasks.push([]);
 		}
 
-		this.#levels[job.served]!.push(job);
+		this.#jobsByServedTasks[job.servedTasks]!.push(job);
 	}
 
 	#firstJob(now: number): QueuedJob | undefined {
@@ -92,7 +92,7 @@
 	/** The job that came first of those that have waited for long. */
 	#urgentJob(now: number): QueuedJob | undefined {
 		for (let job = this.#arrivals[0]; job !== undefined; job = this.#arrivals[0]) {
-			this.#skipGone(job);
+			this.#skipRemoved(job);
 			if (!job.isDone && job.head < job.tickets.length) {
 				return job.urgentAt <= now ? job : undefined;
 			}
@@ -104,23 +104,23 @@
 	}
 
 	#leastServedJob(): QueuedJob | undefined {
-		for (const level of this.#levels) {
+		for (const level of this.#jobsByServedTasks) {
 			for (let job = level[0]; job !== undefined; job = level[0]) {
-				this.#skipGone(job);
+				this.#skipRemoved(job);
 				if (job.head < job.tickets.length) {
 					return job;
 				}
 
 				level.shift();
-				this.#forget(job);
+				this.#remove(job);
 			}
 		}
 
 		return undefined;
 	}
 
-	#skipGone(job: QueuedJob): void {
-		while (job.tickets[job.head]?.isGone === true) {
+	#skipRemoved(job: QueuedJob): void {
+		while (job.tickets[job.head]?.isRemoved === true) {
 			job.head += 1;
 		}
 	}
--- a/src/features/placement/mean-run-times.ts
+++ b/src/features/placement/mean-run-times.ts
@@ -16,6 +16,6 @@
 
 	/** In milliseconds; the declared time while too few tasks were measured. */
 	mean(profile: ProfileName, declaredMilliseconds: number): number {
-		return this.#samples.trusted(profile)?.mean ?? declaredMilliseconds;
+		return this.#samples.sufficientSample(profile)?.mean ?? declaredMilliseconds;
 	}
 }
--- a/src/features/placement/network-slot-client.ts
+++ b/src/features/placement/network-slot-client.ts
@@ -23,97 +23,97 @@
  * A grant whose echo of this entry's clock is older than this isn't used: the entry was paused since, or the grant was
  * held up, and the arbiter may have lent the slot to somebody else.
  */
-const grantFreshnessMilliseconds = 1000;
-/** A wish for another zone is given up when that zone's arbiter isn't found in this time. */
-const foreignSearchMilliseconds = 1000;
+const maximumGrantAgeMilliseconds = 1000;
+/** A pending for another zone is given up when that zone's arbiter isn't found in this time. */
+const otherZoneSearchMilliseconds = 1000;
 /** The own zone is given more: a new arbiter may have to wait until the former one's lease has ended. */
-const ownSearchMilliseconds = 6000;
+const ownZoneSearchMilliseconds = 6000;
 
 type Want = Extract<PlacementRequest, {kind: 'want'}>;
 
-/** Keeps every wish until it's granted, refused or withdrawn. */
+/** Keeps every pending until it's granted, refused or withdrawn. */
 export class NetworkSlotClient extends SlotClient {
 	static readonly tickMilliseconds = tickMilliseconds;
 
-	readonly #links = new Map<AvailabilityZone, ArbiterSession>();
-	readonly #linkOf = new Map<TicketId, ArbiterSession>();
+	readonly #sessions = new Map<AvailabilityZone, ArbiterSession>();
+	readonly #sessionByTicket = new Map<TicketId, ArbiterSession>();
 
 	constructor(
 		private readonly membership: Membership,
 		private readonly clock: Clock,
 		private readonly journal: Journal,
-		private readonly post: ArbiterTransport,
+		private readonly transport: ArbiterTransport,
 	) {
 		super();
 	}
 
 	/** Slots that this entry holds now. */
 	get heldSlots(): number {
-		return [...this.#links.values()].reduce((sum, link) => sum + link.held.size, 0);
+		return [...this.#sessions.values()].reduce((sum, session) => sum + session.heldSlots.size, 0);
 	}
 
 	override requestSlots(zone: AvailabilityZone, want: Want, deadlineAt: number, listener: SlotListener): void {
-		const link = this.#linkTo(zone);
+		const session = this.#sessionFor(zone);
 		const now = this.clock.now();
 		for (const task of want.tasks) {
-			link.wishes.set(task.ticket, {
-				want, task, deadlineAt, askedAt: now, listener,
+			session.pendingRequests.set(task.ticket, {
+				request: want, task, deadlineAt, requestedAt: now, listener,
 			});
-			this.#linkOf.set(task.ticket, link);
+			this.#sessionByTicket.set(task.ticket, session);
 		}
 
-		link.ask({...want, remainingMilliseconds: deadlineAt - now});
+		session.sendOrSearch({...want, remainingMilliseconds: deadlineAt - now});
 	}
 
 	override release(ticket: TicketId, outcome: Extract<PlacementRequest, {kind: 'release'}>['outcome'], runMilliseconds: number): void {
-		const link = this.#linkOf.get(ticket);
-		if (link === undefined) {
+		const session = this.#sessionByTicket.get(ticket);
+		if (session === undefined) {
 			return;
 		}
 
-		link.held.delete(ticket);
-		this.#linkOf.delete(ticket);
-		link.tell({
+		session.heldSlots.delete(ticket);
+		this.#sessionByTicket.delete(ticket);
+		session.sendIfKnown({
 			kind: 'release', ticket, outcome, runMilliseconds,
 		});
 	}
 
 	override withdraw(tickets: readonly TicketId[]): void {
-		const byLink = new Map<ArbiterSession, TicketId[]>();
+		const bySession = new Map<ArbiterSession, TicketId[]>();
 		for (const ticket of tickets) {
-			const link = this.#linkOf.get(ticket);
-			if (link?.wishes.delete(ticket)) {
-				this.#linkOf.delete(ticket);
-				byLink.set(link, [...byLink.get(link) ?? [], ticket]);
+			const session = this.#sessionByTicket.get(ticket);
+			if (session?.pendingRequests.delete(ticket)) {
+				this.#sessionByTicket.delete(ticket);
+				bySession.set(session, [...bySession.get(session) ?? [], ticket]);
 			}
 		}
 
-		for (const [link, list] of byLink) {
-			link.tell({kind: 'withdraw', tickets: list});
+		for (const [session, list] of bySession) {
+			session.sendIfKnown({kind: 'withdraw', tickets: list});
 		}
 	}
 
 	tick(): void {
-		for (const link of this.#links.values()) {
-			this.#giveUpLate(link);
-			link.tick();
+		for (const session of this.#sessions.values()) {
+			this.#refuseExpired(session);
+			session.tick();
 		}
 	}
 
 	/** Takes note of a zone's arbiter; a new one is told of all wishes and slots. */
 	setArbiter(zone: AvailabilityZone, holder: Holder | undefined): void {
-		this.#linkTo(zone).setArbiter(holder?.member);
+		this.#sessionFor(zone).setArbiter(holder?.member);
 	}
 
 	memberReconnected(member: MemberId): void {
-		for (const link of this.#links.values()) {
-			link.memberReconnected(member);
+		for (const session of this.#sessions.values()) {
+			session.memberReconnected(member);
 		}
 	}
 
 	memberLost({member}: Loss): void {
-		for (const link of this.#links.values()) {
-			link.memberLost(member.id);
+		for (const session of this.#sessions.values()) {
+			session.memberLost(member.id);
 		}
 	}
 
@@ -121,103 +121,103 @@
 		match(reply)
 			.with({kind: 'granted'}, ({echo, grants}) => {
 				for (const grant of grants) {
-					this.#granted(from, echo, grant.ticket, grant.target);
+					this.#receiveGrant(from, echo, grant.ticket, grant.target);
 				}
 			})
 			.with({kind: 'refused'}, ({tickets, cause, detail, retryAfterMilliseconds}) => {
 				for (const ticket of tickets) {
-					this.#refused(ticket, {cause, detail, retryAfterMilliseconds});
+					this.#receiveRefusal(ticket, {cause, detail, retryAfterMilliseconds});
 				}
 			})
 			.with({kind: 'recount'}, ({zone}) => {
-				this.#linkTo(zone).sendInventory(from);
+				this.#sessionFor(zone).sendInventory(from);
 			})
 			.with({kind: 'unknown'}, ({tickets}) => {
-				this.#wantAgain(from, tickets);
+				this.#resendRequests(from, tickets);
 			})
 			.with({kind: 'elsewhere'}, ({zone}) => {
-				this.#linkTo(zone).resigned(from);
+				this.#sessionFor(zone).arbiterResigned(from);
 			})
 			.exhaustive();
 	}
 
-	#granted(from: MemberId, echo: number, ticket: TicketId, target: TargetAddress): void {
-		const link = this.#linkOf.get(ticket);
-		const wish = link?.wishes.get(ticket);
-		if (link === undefined || wish === undefined) {
-			this.#giveBack(from, ticket);
+	#receiveGrant(from: MemberId, echo: number, ticket: TicketId, target: TargetAddress): void {
+		const session = this.#sessionByTicket.get(ticket);
+		const pending = session?.pendingRequests.get(ticket);
+		if (session === undefined || pending === undefined) {
+			this.#returnSlot(from, ticket);
 			return;
 		}
 
-		if (this.clock.now() - echo > grantFreshnessMilliseconds || from !== link.arbiter) {
+		if (this.clock.now() - echo > maximumGrantAgeMilliseconds || from !== session.arbiter) {
 			this.journal.record('staleGrantDropped', {ticket, arbiter: from});
-			this.#giveBack(from, ticket);
-			this.#wantAgain(from, [ticket]);
+			this.#returnSlot(from, ticket);
+			this.#resendRequests(from, [ticket]);
 			return;
 		}
 
-		link.wishes.delete(ticket);
-		link.held.set(ticket, {target, profile: wish.want.profile, endsAt: this.clock.now() + wish.want.limitMilliseconds});
-		wish.listener.onDidGrant({ticket, target});
+		session.pendingRequests.delete(ticket);
+		session.heldSlots.set(ticket, {target, profile: pending.request.profile, endsAt: this.clock.now() + pending.request.limitMilliseconds});
+		pending.listener.onDidGrant({ticket, target});
 	}
 
-	#giveBack(arbiter: MemberId, ticket: TicketId): void {
-		this.post.request(arbiter, {
+	#returnSlot(arbiter: MemberId, ticket: TicketId): void {
+		this.transport.sendRequest(arbiter, {
 			kind: 'release', ticket, outcome: 'unused', runMilliseconds: 0,
 		});
 	}
 
-	#refused(ticket: TicketId, refusal: JobRefusal): void {
-		const link = this.#linkOf.get(ticket);
-		const wish = link?.wishes.get(ticket);
-		if (link === undefined || wish === undefined) {
+	#receiveRefusal(ticket: TicketId, refusal: JobRefusal): void {
+		const session = this.#sessionByTicket.get(ticket);
+		const pending = session?.pendingRequests.get(ticket);
+		if (session === undefined || pending === undefined) {
 			return;
 		}
 
-		link.wishes.delete(ticket);
-		this.#linkOf.delete(ticket);
-		wish.listener.onDidRefuse(ticket, refusal);
+		session.pendingRequests.delete(ticket);
+		this.#sessionByTicket.delete(ticket);
+		pending.listener.onDidRefuse(ticket, refusal);
 	}
 
 	/** Sends wishes again that the arbiter lacks; they were admitted before, or ask to be. */
-	#wantAgain(arbiter: MemberId, tickets: readonly TicketId[]): void {
+	#resendRequests(arbiter: MemberId, tickets: readonly TicketId[]): void {
 		for (const ticket of tickets) {
-			const wish = this.#linkOf.get(ticket)?.wishes.get(ticket);
-			if (wish !== undefined) {
-				const remainingMilliseconds = wish.deadlineAt - this.clock.now();
-				this.post.request(arbiter, {
-					...wish.want, isAdmitted: true, remainingMilliseconds, tasks: [wish.task],
+			const pending = this.#sessionByTicket.get(ticket)?.pendingRequests.get(ticket);
+			if (pending !== undefined) {
+				const remainingMilliseconds = pending.deadlineAt - this.clock.now();
+				this.transport.sendRequest(arbiter, {
+					...pending.request, isAdmitted: true, remainingMilliseconds, tasks: [pending.task],
 				});
 			}
 		}
 	}
 
-	#giveUpLate(link: ArbiterSession): void {
+	#refuseExpired(session: ArbiterSession): void {
 		const now = this.clock.now();
-		const isOwn = link.zone === this.membership.self.zone;
-		const searchLimit = isOwn ? ownSearchMilliseconds : foreignSearchMilliseconds;
-		for (const [ticket, wish] of link.wishes) {
-			if (now >= wish.deadlineAt) {
-				this.#giveUp(link, ticket, {cause: 'deadlineUnreachable', detail: 'the deadline passed while the task waited for a slot', retryAfterMilliseconds: 1000});
-			} else if (link.arbiter === undefined && now - wish.askedAt > searchLimit) {
-				this.#giveUp(link, ticket, {cause: 'noTarget', detail: `nobody lends the slots of zone ${link.zone}`, retryAfterMilliseconds: 1000});
+		const isOwn = session.zone === this.membership.self.zone;
+		const searchLimit = isOwn ? ownZoneSearchMilliseconds : otherZoneSearchMilliseconds;
+		for (const [ticket, pending] of session.pendingRequests) {
+			if (now >= pending.deadlineAt) {
+				this.#refuse(session, ticket, {cause: 'deadlineUnreachable', detail: 'the deadline passed while the task waited for a slot', retryAfterMilliseconds: 1000});
+			} else if (session.arbiter === undefined && now - pending.requestedAt > searchLimit) {
+				this.#refuse(session, ticket, {cause: 'noTarget', detail: `nobody lends the slots of zone ${session.zone}`, retryAfterMilliseconds: 1000});
 			}
 		}
 	}
 
-	#giveUp(link: ArbiterSession, ticket: TicketId, refusal: JobRefusal): void {
-		link.tell({kind: 'withdraw', tickets: [ticket]});
-		this.#refused(ticket, refusal);
+	#refuse(session: ArbiterSession, ticket: TicketId, refusal: JobRefusal): void {
+		session.sendIfKnown({kind: 'withdraw', tickets: [ticket]});
+		this.#receiveRefusal(ticket, refusal);
 	}
 
-	#linkTo(zone: AvailabilityZone): ArbiterSession {
-		const known = this.#links.get(zone);
-		if (known !== undefined) {
-			return known;
+	#sessionFor(zone: AvailabilityZone): ArbiterSession {
+		const existing = this.#sessions.get(zone);
+		if (existing !== undefined) {
+			return existing;
 		}
 
-		const link = new ArbiterSession(zone, this.membership, this.clock, this.post);
-		this.#links.set(zone, link);
-		return link;
+		const session = new ArbiterSession(zone, this.membership, this.clock, this.transport);
+		this.#sessions.set(zone, session);
+		return session;
 	}
 }
--- a/src/features/placement/pending-slot-request.ts
+++ b/src/features/placement/pending-slot-request.ts
@@ -6,9 +6,9 @@
 
 /** The wish for a slot for one task; times are the entry's own monotonic ones. */
 export type PendingSlotRequest = {
-	readonly want: Want;
+	readonly request: Want;
 	readonly task: Want['tasks'][number];
 	readonly deadlineAt: number;
-	readonly askedAt: number;
+	readonly requestedAt: number;
 	readonly listener: SlotListener;
 };
--- a/src/features/placement/placement-policies.ts
+++ b/src/features/placement/placement-policies.ts
@@ -13,7 +13,7 @@
 		return [...registered.keys()];
 	},
 
-	named(name: string): PlacementPolicy | undefined {
+	get(name: string): PlacementPolicy | undefined {
 		return registered.get(name);
 	},
 };
--- a/src/features/placement/placement-service.ts
+++ b/src/features/placement/placement-service.ts
@@ -28,7 +28,7 @@
 
 const channel = 'placement';
 /** How often targets are asked what they run while some of their slots aren't accounted for. */
-const usagePeriodMilliseconds = 250;
+const usageQueryPeriodMilliseconds = 250;
 /** A target's word counts once what a dead entry had sent last has certainly arrived. */
 const settlingMilliseconds = 300;
 
@@ -57,7 +57,7 @@
 	readonly #election: ArbiterElection;
 	readonly #slotClient: NetworkSlotClient;
 	#arbiter: Arbiter | undefined;
-	#gainedAt = 0;
+	#becameArbiterAt = 0;
 
 	constructor(private readonly parts: PlacementServiceParts) {
 		const {network, membership, clock, journal} = parts;
@@ -65,7 +65,7 @@
 			network.send(to, {channel, body: {to: 'tenure', message}});
 		}));
 		this.#slotClient = new NetworkSlotClient(membership, clock, journal, {
-			request: (to, request) => {
+			sendRequest: (to, request) => {
 				this.#sendRequest(to, request);
 			},
 			queryArbiter(of, zone) {
@@ -93,19 +93,19 @@
 				this.#receive(from, message.body);
 			}
 		}));
-		this.#store.add(this.#election.onDidChange(holder => {
+		this.#store.add(this.#election.onDidChangeHolder(holder => {
 			this.#slotClient.setArbiter(this.parts.membership.self.zone, holder);
 		}));
-		this.#store.add(this.#election.onDidGain(succession => {
-			this.#gain(succession);
+		this.#store.add(this.#election.onDidBecomeArbiter(transfer => {
+			this.#becomeArbiter(transfer);
 		}));
-		this.#store.add(this.#election.onDidLose(() => {
+		this.#store.add(this.#election.onDidLoseRole(() => {
 			this.#arbiter = undefined;
 		}));
 		this.#store.add(this.parts.membership.onDidLose(loss => {
 			this.#election.memberLost(loss);
 			this.#slotClient.memberLost(loss);
-			this.#arbiter?.forget(loss.member.id);
+			this.#arbiter?.removeRequester(loss.member.id);
 		}));
 		// What was under way on the lost connection is told again, on both sides.
 		this.#store.add(this.parts.network.onDidReconnect(member => {
@@ -122,15 +122,15 @@
 		this.#store.add(repeat(clock, NetworkSlotClient.tickMilliseconds, () => {
 			this.#slotClient.tick();
 		}));
-		this.#store.add(repeat(clock, usagePeriodMilliseconds, () => {
-			this.#askTargets();
+		this.#store.add(repeat(clock, usageQueryPeriodMilliseconds, () => {
+			this.#queryTargets();
 		}));
 	}
 
 	/** Hands the office over if this entry holds it; it stays a requester until its work has ended. */
 	resign(): void {
 		const now = this.parts.clock.now();
-		const held = this.#arbiter?.lentSlots.map(({requester, ticket, target, profile, leaseEndsAt}) => ({
+		const held = this.#arbiter?.leasedSlots.map(({requester, ticket, target, profile, leaseEndsAt}) => ({
 			requester, ticket, target, profile, endsInMilliseconds: leaseEndsAt - now,
 		}));
 		const successor = this.#election.resign(held ?? []);
@@ -205,31 +205,31 @@
 		}
 	}
 
-	#gain(succession: RoleTransfer): void {
+	#becomeArbiter(transfer: RoleTransfer): void {
 		const {zone} = this.parts.membership.self;
 		const arbiter = new Arbiter({
 			...this.parts,
 			zone,
-			outbox: (to, reply) => {
+			sendReply: (to, reply) => {
 				this.#sendReply(to, reply);
 			},
-			mayGrant: () => this.#election.canGrant(),
+			canGrant: () => this.#election.canGrant(),
 		});
 		this.#arbiter = arbiter;
-		this.#gainedAt = this.parts.clock.now();
+		this.#becameArbiterAt = this.parts.clock.now();
 		const instances: readonly Instance[] = this.parts.list.last?.instances ?? [];
 		arbiter.setTargets(instances);
-		if (succession.kind === 'handover') {
-			arbiter.adoptAll(succession.held);
+		if (transfer.kind === 'handover') {
+			arbiter.adoptSlots(transfer.held);
 			return;
 		}
 
 		arbiter.beginQuarantine();
 	}
 
-	#askTargets(): void {
+	#queryTargets(): void {
 		const arbiter = this.#arbiter;
-		const age = this.parts.clock.now() - this.#gainedAt;
+		const age = this.parts.clock.now() - this.#becameArbiterAt;
 		if (arbiter === undefined || age < settlingMilliseconds) {
 			return;
 		}
@@ -238,16 +238,16 @@
 			arbiter.endQuarantine();
 		}
 
-		const doubtful = new Map([...arbiter.quarantinedTargets, ...arbiter.orphanedTargets].map(target => [target.id, target]));
-		for (const target of doubtful.values()) {
-			void this.#askTarget(arbiter, target);
+		const unresolvedTargets = new Map([...arbiter.quarantinedTargets, ...arbiter.orphanedTargets].map(target => [target.id, target]));
+		for (const target of unresolvedTargets.values()) {
+			void this.#queryTarget(arbiter, target);
 		}
 	}
 
-	async #askTarget(arbiter: Arbiter, target: Instance): Promise<void> {
+	async #queryTarget(arbiter: Arbiter, target: Instance): Promise<void> {
 		const usage = await this.parts.driver.usage(target);
 		if (usage !== undefined && arbiter === this.#arbiter) {
-			arbiter.takeUsage(target.id, usage);
+			arbiter.applyUsage(target.id, usage);
 		}
 	}
 }
--- a/src/features/placement/placement.contribution.ts
+++ b/src/features/placement/placement.contribution.ts
@@ -22,7 +22,7 @@
 
 	override activate(services: ServiceContainer, store: DisposableStore): void {
 		const settings = services.get(runtimeKeys.settings).placement;
-		const placement = placementPolicies.named(settings.policy);
+		const placement = placementPolicies.get(settings.policy);
 		if (placement === undefined) {
 			throw new Error(`placement.policy = ${settings.policy}: one of ${placementPolicies.names().join(', ')}`);
 		}
--- a/src/features/placement/policies/fixed-shares.ts
+++ b/src/features/placement/policies/fixed-shares.ts
@@ -17,7 +17,7 @@
 		let best: TargetCandidate | undefined;
 		for (const candidate of candidates) {
 			const isWithinShare = candidate.heldByRequester < candidate.slots / Math.max(1, requesters);
-			if (candidate.free > 0 && isWithinShare && (best === undefined || candidate.free > best.free)) {
+			if (candidate.freeSlots > 0 && isWithinShare && (best === undefined || candidate.freeSlots > best.freeSlots)) {
 				best = candidate;
 			}
 		}
--- a/src/features/placement/policies/late-binding.ts
+++ b/src/features/placement/policies/late-binding.ts
@@ -14,7 +14,7 @@
 	override choose(candidates: readonly TargetCandidate[]): TargetCandidate | undefined {
 		let best: TargetCandidate | undefined;
 		for (const candidate of candidates) {
-			if (candidate.free > 0 && (best === undefined || isBetter(candidate, best))) {
+			if (candidate.freeSlots > 0 && (best === undefined || isBetter(candidate, best))) {
 				best = candidate;
 			}
 		}
@@ -34,7 +34,7 @@
 		return left.jobTasksInRack < right.jobTasksInRack;
 	}
 
-	return left.free > right.free;
+	return left.freeSlots > right.freeSlots;
 }
 
 placementPolicies.register(new LateBinding());
--- a/src/features/placement/policies/power-of-two.ts
+++ b/src/features/placement/policies/power-of-two.ts
@@ -20,7 +20,7 @@
 }
 
 function loadOf(candidate: TargetCandidate): number {
-	return candidate.slots - candidate.free + candidate.bound;
+	return candidate.slots - candidate.freeSlots + candidate.boundTasks;
 }
 
 placementPolicies.register(new PowerOfTwo());
--- a/src/features/placement/profile-samples.ts
+++ b/src/features/placement/profile-samples.ts
@@ -3,39 +3,39 @@
 import type {MeanSample} from './mean-sample.js';
 
 /** A sample that is this full becomes the older one of two, so that old behaviour is forgotten. */
-const tasksPerSample = 2000;
+const maximumTasksPerSample = 2000;
 /** Below so many tasks the declared time counts. */
-const trustedTasks = 10;
+const minimumTasks = 10;
 
 /** Two samples that take turns. */
-type Learned<Sample> = {current: Sample; previous: Sample | undefined};
+type SamplePair<Sample> = {current: Sample; previous: Sample | undefined};
 
 /** A sample for each profile, once there are enough tasks to go by. */
 export class ProfileSamples<Sample extends MeanSample> {
-	readonly #learned = new Map<ProfileName, Learned<Sample>>();
+	readonly #pairs = new Map<ProfileName, SamplePair<Sample>>();
 
 	constructor(private readonly create: () => Sample) {}
 
 	record(profile: ProfileName, milliseconds: number): void {
-		const learned = this.#learned.get(profile) ?? {current: this.create(), previous: undefined};
-		this.#learned.set(profile, learned);
-		learned.current.record(milliseconds);
-		if (learned.current.count >= tasksPerSample) {
-			learned.previous = learned.current;
-			learned.current = this.create();
+		const pair = this.#pairs.get(profile) ?? {current: this.create(), previous: undefined};
+		this.#pairs.set(profile, pair);
+		pair.current.record(milliseconds);
+		if (pair.current.count >= maximumTasksPerSample) {
+			pair.previous = pair.current;
+			pair.current = this.create();
 		}
 	}
 
-	trusted(profile: ProfileName): Sample | undefined {
-		const learned = this.#learned.get(profile);
-		if (learned === undefined) {
+	sufficientSample(profile: ProfileName): Sample | undefined {
+		const pair = this.#pairs.get(profile);
+		if (pair === undefined) {
 			return undefined;
 		}
 
-		if (learned.previous !== undefined && learned.current.count < tasksPerSample / 2) {
-			return learned.previous;
+		if (pair.previous !== undefined && pair.current.count < maximumTasksPerSample / 2) {
+			return pair.previous;
 		}
 
-		return learned.current.count >= trustedTasks ? learned.current : undefined;
+		return pair.current.count >= minimumTasks ? pair.current : undefined;
 	}
 }
--- a/src/features/placement/queued-task.ts
+++ b/src/features/placement/queued-task.ts
@@ -16,5 +16,5 @@
 	/** What the task is expected to take. */
 	readonly expectedMilliseconds: number;
 	/** Set when the wish was withdrawn or refused: the queue drops it when it comes to it. */
-	isGone: boolean;
+	isRemoved: boolean;
 };
--- a/src/features/placement/queued-tasks.ts
+++ b/src/features/placement/queued-tasks.ts
@@ -19,7 +19,7 @@
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly queue: FairQueue;
-	readonly ledger: SlotTable;
+	readonly slotTable: SlotTable;
 	readonly runTimes: RunTimes;
 	readonly requesters: Requesters;
 };
@@ -38,23 +38,23 @@
 		return this.#tickets.has(ticket);
 	}
 
-	of(requester: MemberId): readonly QueuedTask[] {
+	ofRequester(requester: MemberId): readonly QueuedTask[] {
 		return [...this.#tickets.values()].filter(ticket => ticket.requester === requester);
 	}
 
 	/** Those whose deadline has passed. */
-	late(now: number): readonly QueuedTask[] {
+	expired(now: number): readonly QueuedTask[] {
 		return [...this.#tickets.values()].filter(ticket => now >= ticket.deadlineAt);
 	}
 
 	add(requester: MemberId, request: Want, task: Want['tasks'][number]): void {
-		const {placement, clock, random, queue, ledger, runTimes, requesters} = this.parts;
+		const {placement, clock, random, queue, slotTable, runTimes, requesters} = this.parts;
 		const now = clock.now();
 		const expectedMilliseconds = runTimes.mean(request.profile, task.declaredMilliseconds);
 		const deadlineAt = now + request.remainingMilliseconds;
 		const partition = placement.partitionOf(requester);
 		const ticket: QueuedTask = {
-			requester, request, task, partition, arrivedAt: now, deadlineAt, expectedMilliseconds, isGone: false,
+			requester, request, task, partition, arrivedAt: now, deadlineAt, expectedMilliseconds, isRemoved: false,
 		};
 		this.#tickets.set(task.ticket, ticket);
 		if (placement.binding === 'late') {
@@ -62,9 +62,9 @@
 			return;
 		}
 
-		const target = placement.choose(ledger.candidatesFor(ticket, false, now), requesters.size, random);
+		const target = placement.choose(slotTable.candidatesFor(ticket, false, now), requesters.size, random);
 		if (target !== undefined) {
-			ledger.bind(ticket, target.instance.id);
+			slotTable.bind(ticket, target.instance.id);
 		}
 	}
 
@@ -72,24 +72,24 @@
 		for (const id of tickets) {
 			const ticket = this.#tickets.get(id);
 			if (ticket?.requester === requester) {
-				this.drop(ticket);
+				this.remove(ticket);
 			}
 		}
 	}
 
-	dropAll(requester: MemberId): void {
-		for (const ticket of this.of(requester)) {
-			this.drop(ticket);
+	removeAll(requester: MemberId): void {
+		for (const ticket of this.ofRequester(requester)) {
+			this.remove(ticket);
 		}
 	}
 
-	drop(ticket: QueuedTask): void {
+	remove(ticket: QueuedTask): void {
 		this.#tickets.delete(ticket.task.ticket);
 		if (this.parts.placement.binding === 'late') {
 			this.parts.queue.remove(ticket);
 		}
 
-		ticket.isGone = true;
+		ticket.isRemoved = true;
 	}
 
 	/** Takes the next wish that a free slot suits, with the target; nothing where there's none. */
@@ -103,15 +103,15 @@
 	}
 
 	#takeQueued(): {readonly ticket: QueuedTask; readonly instance: Instance} | undefined {
-		const {placement, clock, random, queue, ledger, requesters} = this.parts;
+		const {placement, clock, random, queue, slotTable, requesters} = this.parts;
 		const now = clock.now();
 		let chosen: Instance | undefined;
 		const ticket = queue.takeNext(now, head => {
-			if (!requesters.isAwake(head.requester)) {
+			if (!requesters.isActive(head.requester)) {
 				return false;
 			}
 
-			const candidates = ledger.candidatesFor(head, true, now);
+			const candidates = slotTable.candidatesFor(head, true, now);
 			chosen = placement.choose(candidates, requesters.size, random)?.instance;
 			return chosen !== undefined;
 		});
@@ -119,9 +119,9 @@
 	}
 
 	#takeBound(): {readonly ticket: QueuedTask; readonly instance: Instance} | undefined {
-		const bound = this.parts.ledger.takeBound();
+		const bound = this.parts.slotTable.takeBound();
 		if (bound !== undefined) {
-			bound.ticket.isGone = true;
+			bound.ticket.isRemoved = true;
 		}
 
 		return bound;
--- a/src/features/placement/reconciliation.ts
+++ b/src/features/placement/reconciliation.ts
@@ -11,11 +11,11 @@
 
 type ReconciliationParts = {
 	readonly zone: AvailabilityZone;
-	readonly ledger: SlotTable;
-	readonly lending: SlotLeases;
+	readonly slotTable: SlotTable;
+	readonly slotLeases: SlotLeases;
 	readonly requesters: Requesters;
-	readonly waiting: QueuedTasks;
-	readonly outbox: (to: MemberId, reply: PlacementReply) => void;
+	readonly queuedTasks: QueuedTasks;
+	readonly sendReply: (to: MemberId, reply: PlacementReply) => void;
 };
 
 /**
@@ -26,30 +26,30 @@
 	constructor(private readonly parts: ReconciliationParts) {}
 
 	/** Asks a requester for its inventory. */
-	recount(requester: MemberId): void {
-		this.parts.outbox(requester, {kind: 'recount', zone: this.parts.zone});
+	requestInventory(requester: MemberId): void {
+		this.parts.sendReply(requester, {kind: 'recount', zone: this.parts.zone});
 	}
 
 	compareCounts(from: MemberId, {held, waiting}: Extract<PlacementRequest, {kind: 'renew'}>): void {
-		const ownHeld = this.parts.ledger.held.filter(slot => slot.requester === from && !slot.isOrphaned).length;
-		const ownWaiting = this.parts.waiting.of(from).length;
-		if (this.parts.requesters.compared(from, ownHeld === held && ownWaiting === waiting)) {
-			this.recount(from);
+		const ownHeld = this.parts.slotTable.leasedSlots.filter(slot => slot.requester === from && !slot.isOrphaned).length;
+		const ownWaiting = this.parts.queuedTasks.ofRequester(from).length;
+		if (this.parts.requesters.recordComparison(from, ownHeld === held && ownWaiting === waiting)) {
+			this.requestInventory(from);
 		}
 	}
 
-	takeInventory(from: MemberId, inventory: Extract<PlacementRequest, {kind: 'inventory'}>): void {
-		const {ledger, lending} = this.parts;
+	applyInventory(from: MemberId, inventory: Extract<PlacementRequest, {kind: 'inventory'}>): void {
+		const {slotTable, slotLeases} = this.parts;
 		const named = new Set(inventory.held.map(slot => slot.ticket));
-		for (const slot of ledger.held) {
-			if (slot.requester === from && !named.has(slot.ticket) && lending.hasArrived(slot)) {
-				lending.reclaim(slot);
+		for (const slot of slotTable.leasedSlots) {
+			if (slot.requester === from && !named.has(slot.ticket) && slotLeases.isGrantDelivered(slot)) {
+				slotLeases.reclaim(slot);
 			}
 		}
 
 		for (const {ticket, target, profile, endsInMilliseconds} of inventory.held) {
-			if (ledger.slotOf(ticket) === undefined) {
-				lending.adopt(from, {ticket, target, profile}, endsInMilliseconds);
+			if (slotTable.slotOf(ticket) === undefined) {
+				slotLeases.adopt(from, {ticket, target, profile}, endsInMilliseconds);
 			}
 		}
 
@@ -57,17 +57,17 @@
 	}
 
 	#compareWaiting(from: MemberId, tickets: readonly TicketId[]): void {
-		const {ledger, waiting, outbox} = this.parts;
+		const {slotTable, queuedTasks, sendReply} = this.parts;
 		const named = new Set(tickets);
-		for (const ticket of waiting.of(from)) {
+		for (const ticket of queuedTasks.ofRequester(from)) {
 			if (!named.has(ticket.task.ticket)) {
-				waiting.drop(ticket);
+				queuedTasks.remove(ticket);
 			}
 		}
 
-		const unknown = tickets.filter(ticket => !waiting.has(ticket) && ledger.slotOf(ticket) === undefined);
+		const unknown = tickets.filter(ticket => !queuedTasks.has(ticket) && slotTable.slotOf(ticket) === undefined);
 		if (unknown.length > 0) {
-			outbox(from, {kind: 'unknown', tickets: unknown});
+			sendReply(from, {kind: 'unknown', tickets: unknown});
 		}
 	}
 }
--- a/src/features/placement/requesters.ts
+++ b/src/features/placement/requesters.ts
@@ -5,9 +5,9 @@
 /** A requester that wasn't heard for so long gets no slot: it may be paused, and others wait. */
 const silenceMilliseconds = 1000;
 /** Counts that differ because a message is under way agree again by the next renewal. */
-const toleratedMismatches = 1;
+const maximumMismatches = 1;
 
-type Requester = {stamp: number; heardAt: number; mismatches: number; isAsleep: boolean};
+type Requester = {stamp: number; heardAt: number; mismatches: number; wasReportedSilent: boolean};
 
 /** Knows who is awake, the clocks that requests came with, and whose counts stay different. */
 export class Requesters {
@@ -24,43 +24,43 @@
 	}
 
 	/** Takes note of a request; returns whether its sender had been set aside as silent. */
-	heard(member: MemberId, stamp: number): boolean {
+	recordRequest(member: MemberId, stamp: number): boolean {
 		const requester = this.#requesters.get(member) ?? {
-			stamp, heardAt: 0, mismatches: 0, isAsleep: false,
+			stamp, heardAt: 0, mismatches: 0, wasReportedSilent: false,
 		};
 		this.#requesters.set(member, requester);
-		const {isAsleep} = requester;
+		const {wasReportedSilent} = requester;
 		requester.stamp = Math.max(requester.stamp, stamp);
 		requester.heardAt = this.clock.now();
-		requester.isAsleep = false;
-		return isAsleep;
+		requester.wasReportedSilent = false;
+		return wasReportedSilent;
 	}
 
 	/** The latest time that the requester's own clock showed, which its grants bring back. */
-	stampOf(member: MemberId): number {
+	lastStampOf(member: MemberId): number {
 		return this.#requesters.get(member)?.stamp ?? 0;
 	}
 
-	isAwake(member: MemberId): boolean {
+	isActive(member: MemberId): boolean {
 		const requester = this.#requesters.get(member);
 		return requester !== undefined && !this.#isSilent(requester);
 	}
 
 	/** Those that have fallen silent since the last call. */
-	takeSilent(): readonly MemberId[] {
-		const silent = [...this.#requesters].filter(([, requester]) => !requester.isAsleep && this.#isSilent(requester));
+	takeNewlySilent(): readonly MemberId[] {
+		const silent = [...this.#requesters].filter(([, requester]) => !requester.wasReportedSilent && this.#isSilent(requester));
 		for (const [, requester] of silent) {
-			requester.isAsleep = true;
+			requester.wasReportedSilent = true;
 		}
 
 		return silent.map(([member]) => member);
 	}
 
 	/** Takes the comparison of a requester's counts with the arbiter's own; returns whether they stay different. */
-	compared(member: MemberId, isEqual: boolean): boolean {
+	recordComparison(member: MemberId, isEqual: boolean): boolean {
 		const requester = this.#requesters.get(member)!;
 		requester.mismatches = isEqual ? 0 : requester.mismatches + 1;
-		if (requester.mismatches <= toleratedMismatches) {
+		if (requester.mismatches <= maximumMismatches) {
 			return false;
 		}
 
@@ -68,7 +68,7 @@
 		return true;
 	}
 
-	forget(member: MemberId): void {
+	remove(member: MemberId): void {
 		this.#requesters.delete(member);
 	}
 
--- a/src/features/placement/run-times.ts
+++ b/src/features/placement/run-times.ts
@@ -4,7 +4,7 @@
 import {RunTimeSample} from './run-time-sample.js';
 
 /** For a task that nobody said or learned anything of. */
-const unknownMilliseconds = 250;
+const defaultMilliseconds = 250;
 
 /** Run times by profile; declared ones serve only until there are enough measured ones. */
 export class RunTimes {
@@ -16,11 +16,11 @@
 
 	/** The mean in milliseconds. */
 	mean(profile: ProfileName, declaredMilliseconds?: number): number {
-		return this.#samples.trusted(profile)?.mean ?? declaredMilliseconds ?? unknownMilliseconds;
+		return this.#samples.sufficientSample(profile)?.mean ?? declaredMilliseconds ?? defaultMilliseconds;
 	}
 
 	/** The time in milliseconds that a share of the tasks stays under. */
 	quantile(profile: ProfileName, share: number, declaredMilliseconds?: number): number {
-		return this.#samples.trusted(profile)?.quantile(share) ?? declaredMilliseconds ?? unknownMilliseconds;
+		return this.#samples.sufficientSample(profile)?.quantile(share) ?? declaredMilliseconds ?? defaultMilliseconds;
 	}
 }
--- a/src/features/placement/silence-check.ts
+++ b/src/features/placement/silence-check.ts
@@ -6,15 +6,15 @@
 import type {ElectionMessage} from './election-message.js';
 
 /** A witness that heard of the holder more recently than this contradicts its silence. */
-const witnessedSilenceMilliseconds = 1500;
+const minimumSilenceMilliseconds = 1500;
 /** How long witnesses have for their answers. */
-const witnessWaitMilliseconds = 500;
+const replyTimeoutMilliseconds = 500;
 
-type Inquiry = {readonly about: MemberId; readonly startedAt: number; denials: number; confirmations: number};
+type Poll = {readonly about: MemberId; readonly startedAt: number; silentReplies: number; aliveReplies: number};
 
 /** Asks all others, and answers those that ask; their silence proves nothing, one answer is needed. */
 export class SilenceCheck {
-	#inquiry: Inquiry | undefined;
+	#poll: Poll | undefined;
 
 	constructor(
 		private readonly membership: Membership,
@@ -23,50 +23,50 @@
 	) {}
 
 	/** Begins to ask, or ends after the time for answers: then it returns how many confirm the silence, if nobody contradicts. */
-	witnessesOf(about: MemberId): number {
+	pollWitnesses(about: MemberId): number {
 		const now = this.clock.now();
-		if (this.#inquiry === undefined) {
-			this.#begin(about, now);
+		if (this.#poll === undefined) {
+			this.#start(about, now);
 			return 0;
 		}
 
-		const {startedAt, denials, confirmations} = this.#inquiry;
-		if (now - startedAt < witnessWaitMilliseconds) {
+		const {startedAt, silentReplies, aliveReplies} = this.#poll;
+		if (now - startedAt < replyTimeoutMilliseconds) {
 			return 0;
 		}
 
-		this.#inquiry = undefined;
-		return confirmations === 0 ? denials : 0;
+		this.#poll = undefined;
+		return aliveReplies === 0 ? silentReplies : 0;
 	}
 
 	/** The holder was heard. */
-	close(): void {
-		this.#inquiry = undefined;
+	cancel(): void {
+		this.#poll = undefined;
 	}
 
-	takeReply(reply: Extract<ElectionMessage, {kind: 'aliveReply'}>): void {
-		if (this.#inquiry?.about !== reply.about) {
+	recordReply(reply: Extract<ElectionMessage, {kind: 'aliveReply'}>): void {
+		if (this.#poll?.about !== reply.about) {
 			return;
 		}
 
-		if (reply.heardAgoMilliseconds < witnessedSilenceMilliseconds) {
-			this.#inquiry.confirmations += 1;
+		if (reply.heardAgoMilliseconds < minimumSilenceMilliseconds) {
+			this.#poll.aliveReplies += 1;
 		} else {
-			this.#inquiry.denials += 1;
+			this.#poll.silentReplies += 1;
 		}
 	}
 
 	/** Only an entry that was in touch with a member can tell whether it fell silent. */
-	testify(to: Member, about: MemberId): void {
+	replyTo(to: Member, about: MemberId): void {
 		const heardAgoMilliseconds = about === this.membership.self.id ? 0 : this.membership.heardAgo(about);
 		if (heardAgoMilliseconds !== undefined) {
 			this.send(to, {kind: 'aliveReply', about, heardAgoMilliseconds});
 		}
 	}
 
-	#begin(about: MemberId, now: number): void {
-		this.#inquiry = {
-			about, startedAt: now, denials: 0, confirmations: 0,
+	#start(about: MemberId, now: number): void {
+		this.#poll = {
+			about, startedAt: now, silentReplies: 0, aliveReplies: 0,
 		};
 		for (const member of this.membership.all) {
 			if (member.id !== about) {
--- a/src/features/placement/slot-leases.ts
+++ b/src/features/placement/slot-leases.ts
@@ -15,12 +15,12 @@
 /** What a target may take beyond a task's limit to stop it, and a grant to reach its requester. */
 const leaseMarginMilliseconds = 1500;
 /** A slot that was lent this long before has reached its requester, or never will. */
-const arrivalMilliseconds = 1500;
+const deliveryMilliseconds = 1500;
 
 type SlotLeasesParts = {
 	readonly clock: Clock;
 	readonly journal: Journal;
-	readonly ledger: SlotTable;
+	readonly slotTable: SlotTable;
 	readonly health: TargetHealth;
 	readonly runTimes: RunTimes;
 };
@@ -29,11 +29,11 @@
 export class SlotLeases {
 	constructor(private readonly parts: SlotLeasesParts) {}
 
-	lend(ticket: QueuedTask, instance: Instance): void {
-		const {clock, journal, ledger, health} = this.parts;
+	grant(ticket: QueuedTask, instance: Instance): void {
+		const {clock, journal, slotTable, health} = this.parts;
 		const now = clock.now();
 		const {request, task, requester} = ticket;
-		ledger.lend({
+		slotTable.lease({
 			requester,
 			ticket: task.ticket,
 			target: instance.id,
@@ -58,7 +58,7 @@
 	/** Takes over a slot that a former arbiter lent. */
 	adopt(requester: MemberId, slot: Pick<LeasedSlot, 'ticket' | 'target' | 'profile'>, endsInMilliseconds: number): void {
 		const now = this.parts.clock.now();
-		this.parts.ledger.lend({
+		this.parts.slotTable.lease({
 			...slot,
 			requester,
 			job: taskIdOf(slot.ticket).split('/')[0] as LeasedSlot['job'],
@@ -71,8 +71,8 @@
 	}
 
 	release(from: MemberId, {ticket, outcome, runMilliseconds}: Extract<PlacementRequest, {kind: 'release'}>): void {
-		const {clock, ledger, health, runTimes} = this.parts;
-		const slot = ledger.slotOf(ticket);
+		const {clock, slotTable, health, runTimes} = this.parts;
+		const slot = slotTable.slotOf(ticket);
 		if (slot?.requester !== from || slot.isOrphaned) {
 			return;
 		}
@@ -81,7 +81,7 @@
 		if (outcome === 'lost') {
 			slot.isOrphaned = true;
 		} else {
-			ledger.free(ticket);
+			slotTable.free(ticket);
 		}
 
 		if (outcome === 'unused') {
@@ -99,10 +99,10 @@
 	}
 
 	/** Frees the slots whose leases have ended. */
-	endLeases(): void {
-		const {clock, journal, ledger} = this.parts;
+	expireLeases(): void {
+		const {clock, journal, slotTable} = this.parts;
 		const now = clock.now();
-		for (const slot of ledger.held) {
+		for (const slot of slotTable.leasedSlots) {
 			if (now > slot.leaseEndsAt) {
 				journal.record('leaseEnded', {ticket: slot.ticket, target: slot.target, requester: slot.requester});
 				this.reclaim(slot);
@@ -112,12 +112,12 @@
 
 	/** Frees a slot of whose task nothing was learned. */
 	reclaim(slot: LeasedSlot): void {
-		this.parts.ledger.free(slot.ticket);
+		this.parts.slotTable.free(slot.ticket);
 		this.parts.health.cancelProbe(slot.target);
 	}
 
 	/** Whether news that lag by so much tell of a slot: those sent before its grant arrived don't. */
-	hasArrived(slot: LeasedSlot, lagMilliseconds = 0): boolean {
-		return this.parts.clock.now() - slot.grantedAt > arrivalMilliseconds + lagMilliseconds;
+	isGrantDelivered(slot: LeasedSlot, lagMilliseconds = 0): boolean {
+		return this.parts.clock.now() - slot.grantedAt > deliveryMilliseconds + lagMilliseconds;
 	}
 }
--- a/src/features/placement/slot-table.ts
+++ b/src/features/placement/slot-table.ts
@@ -10,7 +10,7 @@
 import type {QueuedTask} from './queued-task.js';
 
 /** For targets whose row in the instance list gives no number. */
-const defaultSlots = 8;
+const defaultSlotCount = 8;
 
 type TargetState = {
 	instance: Instance;
@@ -39,7 +39,7 @@
 		return [...this.#targets.values()].filter(state => state.isOpen).map(state => state.instance);
 	}
 
-	get held(): readonly LeasedSlot[] {
+	get leasedSlots(): readonly LeasedSlot[] {
 		return [...this.#held.values()];
 	}
 
@@ -47,17 +47,17 @@
 	get freeSlots(): number {
 		let free = 0;
 		for (const state of this.#targets.values()) {
-			free += state.isOpen ? Math.max(0, freeOf(state)) : 0;
+			free += state.isOpen ? Math.max(0, freeSlotsOf(state)) : 0;
 		}
 
 		return free;
 	}
 
 	/** Slots of the targets that take work, lent or not. */
-	get openSlots(): number {
+	get totalSlots(): number {
 		let slots = 0;
 		for (const state of this.#targets.values()) {
-			slots += state.isOpen ? slotsOf(state) : 0;
+			slots += state.isOpen ? slotCountOf(state) : 0;
 		}
 
 		return slots;
@@ -83,13 +83,13 @@
 		return this.#held.get(ticket);
 	}
 
-	lend(slot: LeasedSlot): void {
+	lease(slot: LeasedSlot): void {
 		this.free(slot.ticket);
 		this.#held.set(slot.ticket, slot);
 		const state = this.#targets.get(slot.target);
 		if (state !== undefined) {
 			state.held.set(slot.ticket, slot);
-			this.#account(state, slot, 1);
+			this.#updateCounts(state, slot, 1);
 		}
 	}
 
@@ -102,7 +102,7 @@
 		this.#held.delete(ticket);
 		const state = this.#targets.get(slot.target);
 		if (state?.held.delete(ticket)) {
-			this.#account(state, slot, -1);
+			this.#updateCounts(state, slot, -1);
 		}
 
 		return slot;
@@ -122,11 +122,11 @@
 	/** The next task that's bound to a target with a free slot. */
 	takeBound(): {readonly ticket: QueuedTask; readonly instance: Instance} | undefined {
 		for (const state of this.#targets.values()) {
-			while (state.bound[0]?.isGone === true) {
+			while (state.bound[0]?.isRemoved === true) {
 				state.bound.shift();
 			}
 
-			if (state.bound.length > 0 && freeOf(state) > 0) {
+			if (state.bound.length > 0 && freeSlotsOf(state) > 0) {
 				return {ticket: state.bound.shift()!, instance: state.instance};
 			}
 		}
@@ -137,12 +137,12 @@
 	/** Withholds all slots of all targets that aren't accounted for. */
 	quarantineUnaccounted(): void {
 		for (const state of this.#targets.values()) {
-			state.quarantined = Math.max(0, slotsOf(state) - state.held.size);
+			state.quarantined = Math.max(0, slotCountOf(state) - state.held.size);
 		}
 	}
 
 	/** Ends the quarantine of a target, but for so many tasks that it runs and nobody accounts for. */
-	setQuarantine(target: InstanceId, unaccounted: number): void {
+	setQuarantinedSlots(target: InstanceId, unaccounted: number): void {
 		const state = this.#targets.get(target);
 		if (state !== undefined) {
 			state.quarantined = unaccounted;
@@ -155,14 +155,14 @@
 
 	/** True where some open target is large enough and labelled for the task, whatever it runs now. */
 	isPlaceable(ticket: Pick<QueuedTask, 'task'>): boolean {
-		return [...this.#targets.values()].some(state => state.isOpen && suits(state.instance, ticket));
+		return [...this.#targets.values()].some(state => state.isOpen && meetsRequirements(state.instance, ticket));
 	}
 
 	/** Targets that suit a task now; with `hasSlot`, only those with a free slot. */
 	candidatesFor(ticket: QueuedTask, hasSlot: boolean, now: number): readonly TargetCandidate[] {
 		const candidates: TargetCandidate[] = [];
 		for (const state of this.#targets.values()) {
-			if (!state.isOpen || (hasSlot && freeOf(state) <= 0) || !suits(state.instance, ticket) || !hasRoom(state, ticket)) {
+			if (!state.isOpen || (hasSlot && freeSlotsOf(state) <= 0) || !meetsRequirements(state.instance, ticket) || !hasCapacity(state, ticket)) {
 				continue;
 			}
 
@@ -176,21 +176,21 @@
 	}
 
 	#candidate(state: TargetState, ticket: QueuedTask, condition: TargetCandidate['condition']): TargetCandidate {
-		const bound = state.bound.filter(waiting => !waiting.isGone);
+		const bound = state.bound.filter(waiting => !waiting.isRemoved);
 		const boundByRequester = bound.filter(waiting => waiting.requester === ticket.requester).length;
 		return {
 			instance: state.instance,
-			free: freeOf(state),
-			slots: slotsOf(state),
+			freeSlots: freeSlotsOf(state),
+			slots: slotCountOf(state),
 			heldByRequester: (state.heldBy.get(ticket.requester) ?? 0) + boundByRequester,
-			bound: bound.length,
+			boundTasks: bound.length,
 			jobTasksInRack: this.#jobRacks.get(jobRackKey(ticket.request.job, state.instance)) ?? 0,
 			condition,
 		};
 	}
 
 	/** Adds a slot to, or takes it from, the running counts. */
-	#account(state: TargetState, slot: LeasedSlot, sign: 1 | -1): void {
+	#updateCounts(state: TargetState, slot: LeasedSlot, sign: 1 | -1): void {
 		state.usedMemoryMegabytes += sign * slot.memoryMegabytes;
 		state.usedAccelerators += sign * slot.accelerators;
 		addTo(state.heldBy, slot.requester, sign);
@@ -210,15 +210,15 @@
 	}
 }
 
-function slotsOf(state: TargetState): number {
-	return state.instance.slots ?? defaultSlots;
+function slotCountOf(state: TargetState): number {
+	return state.instance.slots ?? defaultSlotCount;
 }
 
-function freeOf(state: TargetState): number {
-	return slotsOf(state) - state.held.size - state.quarantined;
+function freeSlotsOf(state: TargetState): number {
+	return slotCountOf(state) - state.held.size - state.quarantined;
 }
 
-function suits(instance: Instance, {task}: Pick<QueuedTask, 'task'>): boolean {
+function meetsRequirements(instance: Instance, {task}: Pick<QueuedTask, 'task'>): boolean {
 	const labels = instance.labels ?? [];
 	return task.labels.every(label => labels.includes(label))
 		&& !task.avoided.some(label => labels.includes(label))
@@ -228,7 +228,7 @@
 }
 
 /** Room beside the tasks that run there already. */
-function hasRoom(state: TargetState, {task}: QueuedTask): boolean {
+function hasCapacity(state: TargetState, {task}: QueuedTask): boolean {
 	return task.memoryMegabytes + state.usedMemoryMegabytes <= (state.instance.memoryMegabytes ?? Number.POSITIVE_INFINITY)
 		&& (task.accelerators === 0 || task.accelerators + state.usedAccelerators <= (state.instance.accelerators ?? 0));
 }
--- a/src/features/placement/target-candidate.ts
+++ b/src/features/placement/target-candidate.ts
@@ -5,12 +5,12 @@
 export type TargetCandidate = {
 	readonly instance: Instance;
 	/** Slots that are lent to nobody. */
-	readonly free: number;
+	readonly freeSlots: number;
 	readonly slots: number;
 	/** Slots that are lent to the requester of the task at hand. */
 	readonly heldByRequester: number;
 	/** Tasks bound to the target that wait for a slot there; 0 under late binding. */
-	readonly bound: number;
+	readonly boundTasks: number;
 	/** Tasks of the same job in the target's rack. */
 	readonly jobTasksInRack: number;
 	readonly condition: 'fit' | 'slow' | 'probe';
--- a/src/features/placement/target-health.ts
+++ b/src/features/placement/target-health.ts
@@ -4,26 +4,26 @@
 import type {Journal} from '../../runtime/journal/journal.js';
 
 /** Failures in a row after which a target is out; a loss or a refusal weighs as much as a failure. */
-const failuresToEject = 3;
+const consecutiveFailuresToEject = 3;
 const firstEjectionMilliseconds = 2000;
 /** One probe a second for a slow target, against a task in each free place on it; and it's back within a second. */
 const suspensionMilliseconds = 1000;
-const longestEjectionMilliseconds = 60_000;
-const ejectionGrowth = 2;
+const maximumEjectionMilliseconds = 60_000;
+const ejectionBackoffFactor = 2;
 /** No more of a zone's targets are out at once: when many look bad, the cause is most likely elsewhere. */
-const ejectedShareLimit = 0.5;
+const maximumEjectedShare = 0.5;
 /** A target is slow when its tasks take so many times what their profiles take elsewhere. */
 const slowFactor = 2.5;
-const slowSamples = 8;
+const minimumSlowSamples = 8;
 /** Weight of the newest sample in moving averages. */
-const smoothing = 0.2;
+const smoothingFactor = 0.2;
 /** A profile whose tasks fail this often on the other targets as well has itself to blame. */
-const profileFailureShare = 0.5;
+const profileFailureThreshold = 0.5;
 
 type Outcome = 'result' | 'failure' | 'refused' | 'lost';
 
 /** The end of a task; the expected time is the profile's mean over the zone. */
-type TaskEnd = {
+type TaskCompletion = {
 	readonly target: InstanceId;
 	readonly profile: ProfileName;
 	readonly outcome: Outcome;
@@ -35,7 +35,7 @@
 	readonly hasFailedElsewhere?: boolean;
 };
 
-type State = {
+type TargetState = {
 	failureStreak: number;
 	/** The job of the latest failure of the streak. */
 	failedJob: string | undefined;
@@ -55,7 +55,7 @@
  * time after a longer period.
  */
 export class TargetHealth {
-	readonly #states = new Map<InstanceId, State>();
+	readonly #states = new Map<InstanceId, TargetState>();
 
 	constructor(private readonly journal: Journal) {}
 
@@ -84,7 +84,7 @@
 			return now >= state.ejectedUntil && !state.isProbing ? 'probe' : 'out';
 		}
 
-		return state.samples >= slowSamples && state.slowness > slowFactor ? 'slow' : 'fit';
+		return state.samples >= minimumSlowSamples && state.slowness > slowFactor ? 'slow' : 'fit';
 	}
 
 	/** A task goes to a target that is out, to find out whether it's back. */
@@ -109,34 +109,34 @@
 		this.journal.record('targetEjected', {target, outcome: cause, periodMilliseconds: suspensionMilliseconds});
 	}
 
-	report(end: TaskEnd, now: number): void {
+	report(end: TaskCompletion, now: number): void {
 		const {target, profile, outcome, runMilliseconds, expectedMilliseconds, job} = end;
 		const state = this.#stateOf(target);
 		const isGood = outcome === 'result';
-		noteOutcome(state, profile, isGood);
+		recordOutcome(state, profile, isGood);
 		if (isGood) {
-			this.#good(target, state, runMilliseconds / Math.max(1, expectedMilliseconds));
+			this.#recordSuccess(target, state, runMilliseconds / Math.max(1, expectedMilliseconds));
 			return;
 		}
 
 		// A failing task says nothing about its target when the same profile fails on the others too.
-		if (outcome === 'failure' && (this.#failsElsewhere(target, profile) || isDoubtful(state, end))) {
+		if (outcome === 'failure' && (this.#failsOnOtherTargets(target, profile) || isAttributableToJob(state, end))) {
 			state.isProbing = false;
 			return;
 		}
 
 		state.failureStreak += 1;
 		state.failedJob = job;
-		if (state.isProbing || (!state.isOut && state.failureStreak >= failuresToEject)) {
+		if (state.isProbing || (!state.isOut && state.failureStreak >= consecutiveFailuresToEject)) {
 			this.#eject(target, state, outcome, now);
 		}
 	}
 
-	#good(target: InstanceId, state: State, ratio: number): void {
+	#recordSuccess(target: InstanceId, state: TargetState, ratio: number): void {
 		state.failureStreak = 0;
 		state.failedJob = undefined;
 		state.samples += 1;
-		state.slowness += smoothing * (ratio - state.slowness);
+		state.slowness += smoothingFactor * (ratio - state.slowness);
 		if (!state.isOut || !state.isProbing) {
 			return;
 		}
@@ -146,22 +146,22 @@
 		this.journal.record('targetBack', {target, ejections: state.ejections});
 	}
 
-	#eject(target: InstanceId, state: State, outcome: Outcome, now: number): void {
+	#eject(target: InstanceId, state: TargetState, outcome: Outcome, now: number): void {
 		state.isProbing = false;
 		const out = [...this.#states.values()].filter(other => other.isOut).length;
-		if (!state.isOut && out + 1 > this.#states.size * ejectedShareLimit) {
+		if (!state.isOut && out + 1 > this.#states.size * maximumEjectedShare) {
 			this.journal.record('ejectionCapped', {target, out});
 			return;
 		}
 
-		const period = Math.min(longestEjectionMilliseconds, firstEjectionMilliseconds * (ejectionGrowth ** state.ejections));
+		const period = Math.min(maximumEjectionMilliseconds, firstEjectionMilliseconds * (ejectionBackoffFactor ** state.ejections));
 		state.isOut = true;
 		state.ejections += 1;
 		state.ejectedUntil = now + period;
 		this.journal.record('targetEjected', {target, outcome, periodMilliseconds: period});
 	}
 
-	#failsElsewhere(target: InstanceId, profile: ProfileName): boolean {
+	#failsOnOtherTargets(target: InstanceId, profile: ProfileName): boolean {
 		const shares: number[] = [];
 		for (const [id, state] of this.#states) {
 			const known = state.failureShares.get(profile);
@@ -171,16 +171,16 @@
 		}
 
 		const sum = shares.reduce((total, share) => total + share, 0);
-		return shares.length > 0 && sum / shares.length > profileFailureShare;
+		return shares.length > 0 && sum / shares.length > profileFailureThreshold;
 	}
 
-	#stateOf(target: InstanceId): State {
+	#stateOf(target: InstanceId): TargetState {
 		const known = this.#states.get(target);
 		if (known !== undefined) {
 			return known;
 		}
 
-		const state: State = {
+		const state: TargetState = {
 			failureStreak: 0, failedJob: undefined, ejections: 0, ejectedUntil: 0, isOut: false, isProbing: false, slowness: 1, samples: 0, failureShares: new Map(),
 		};
 		this.#states.set(target, state);
@@ -193,15 +193,15 @@
  * targets, three such jobs take a zone's sound targets out for seconds. A target that fails everything is found out all the
  * same, by the first attempts of three jobs.
  */
-function isDoubtful(state: State, {job, hasFailedElsewhere}: TaskEnd): boolean {
+function isAttributableToJob(state: TargetState, {job, hasFailedElsewhere}: TaskCompletion): boolean {
 	return hasFailedElsewhere === true || (job !== undefined && job === state.failedJob);
 }
 
 /** The first samples weigh more: a profile that fails everywhere is known for it after a task on each target. */
-function noteOutcome(state: State, profile: ProfileName, isGood: boolean): void {
+function recordOutcome(state: TargetState, profile: ProfileName, isGood: boolean): void {
 	const known = state.failureShares.get(profile) ?? {share: 0, samples: 0};
 	state.failureShares.set(profile, known);
-	const weight = Math.max(smoothing, 1 / (known.samples + 1));
+	const weight = Math.max(smoothingFactor, 1 / (known.samples + 1));
 	known.samples += 1;
 	known.share += weight * ((isGood ? 0 : 1) - known.share);
 }
--- a/src/features/placement/token-bucket.ts
+++ b/src/features/placement/token-bucket.ts
@@ -3,17 +3,17 @@
 /** Fills steadily up to a capacity; monotonic milliseconds come from the caller. */
 export class TokenBucket {
 	#tokens: number;
-	#filledAt: number;
+	#refilledAt: number;
 
 	constructor(private readonly perSecond: number, private readonly capacity: number, now: number) {
 		this.#tokens = capacity;
-		this.#filledAt = now;
+		this.#refilledAt = now;
 	}
 
 	/** Takes so many tokens, or says in how many milliseconds they will be there. */
 	take(count: number, now: number): {readonly kind: 'taken'} | {readonly kind: 'short'; readonly waitMilliseconds: number} {
-		this.#tokens = Math.min(this.capacity, this.#tokens + ((now - this.#filledAt) * this.perSecond / 1000));
-		this.#filledAt = now;
+		this.#tokens = Math.min(this.capacity, this.#tokens + ((now - this.#refilledAt) * this.perSecond / 1000));
+		this.#refilledAt = now;
 		// More than the bucket holds at once may be taken when it's full, and is paid off afterwards.
 		const needed = Math.min(count, this.capacity);
 		if (this.#tokens < needed) {
--- a/test/features/placement/arbiter-fixture.ts
+++ b/test/features/placement/arbiter-fixture.ts
@@ -32,14 +32,14 @@
 	constructor(readonly targets: readonly Instance[] = [targetOf('target-1'), targetOf('target-2')]) {
 		this.arbiter = new Arbiter({
 			zone: 'zone-1' as AvailabilityZone,
-			placement: placementPolicies.named('late-binding')!,
+			placement: placementPolicies.get('late-binding')!,
 			clock: this.clock,
 			random: new Random(1),
 			journal: this.journal,
-			outbox: (to, reply) => {
+			sendReply: (to, reply) => {
 				this.sent.push({to, reply});
 			},
-			mayGrant: () => this.mayGrant,
+			canGrant: () => this.mayGrant,
 		});
 		this.arbiter.setTargets(targets);
 	}
--- a/test/features/placement/arbiter.test.ts
+++ b/test/features/placement/arbiter.test.ts
@@ -27,17 +27,17 @@
 	world.release('a/0:0', 'lost');
 	assert.equal(world.granted.length, 1);
 	world.clock.advance(2000);
-	world.arbiter.takeUsage('target-1' as InstanceId, {running: ['a/0' as TaskId], lagMilliseconds: 0});
+	world.arbiter.applyUsage('target-1' as InstanceId, {running: ['a/0' as TaskId], lagMilliseconds: 0});
 	assert.equal(world.granted.length, 1);
 	world.request({kind: 'renew', held: 0, waiting: 1});
-	world.arbiter.takeUsage('target-1' as InstanceId, {running: [], lagMilliseconds: 0});
+	world.arbiter.applyUsage('target-1' as InstanceId, {running: [], lagMilliseconds: 0});
 	assert.equal(world.granted.length, 2);
 });
 
 test('slots of a dead requester come back with their leases at the latest', () => {
 	const world = new ArbiterFixture([targetOf('target-1', {slots: 1})]);
 	world.want('a', 1, {}, other);
-	world.arbiter.forget(other);
+	world.arbiter.removeRequester(other);
 	world.want('b', 1);
 	world.clock.advance(5000);
 	world.request({kind: 'renew', held: 0, waiting: 1});
@@ -56,9 +56,9 @@
 	world.arbiter.beginQuarantine();
 	world.want('a', 3);
 	assert.equal(world.granted.length, 0);
-	world.arbiter.takeUsage('target-1' as InstanceId, {running: ['dead/0' as TaskId, 'dead/1' as TaskId], lagMilliseconds: 0});
+	world.arbiter.applyUsage('target-1' as InstanceId, {running: ['dead/0' as TaskId, 'dead/1' as TaskId], lagMilliseconds: 0});
 	assert.equal(world.granted.length, 1);
-	world.arbiter.takeUsage('target-1' as InstanceId, {running: [], lagMilliseconds: 0});
+	world.arbiter.applyUsage('target-1' as InstanceId, {running: [], lagMilliseconds: 0});
 	assert.equal(world.granted.length, 3);
 });
 
--- a/test/features/placement/network-slot-client.test.ts
+++ b/test/features/placement/network-slot-client.test.ts
@@ -20,7 +20,7 @@
 	const clock = new FakeClock();
 	const sent: Array<{readonly to: MemberId; readonly request: PlacementRequest}> = [];
 	const desk = new NetworkSlotClient(new FakeMembership(FakeMembership.memberOf('entry-1'), clock), clock, new RecordingJournal(), {
-		request(to, request) {
+		sendRequest(to, request) {
 			sent.push({to, request});
 		},
 		queryArbiter() {
