--- a/src/features/placement/admission-control.ts
+++ b/src/features/placement/admission-control.ts
@@ -1,4 +1,4 @@
-/** Decides whether a job's wishes may join the queue. */
+/** Admission control: decides whether the tasks of a job may be queued. */
 import type {ProfileName} from '../../base/profile-name.js';
 import type {FairQueue} from './fair-queue.js';
 import type {JobRefusal} from './job-refusal.js';
@@ -7,36 +7,33 @@
 import type {SlotTable} from './slot-table.js';
 import {TokenBucket} from './token-bucket.js';
 
-/** Of the tasks of a job, so many in total may be expected to run longer than what the estimate reckons with. */
+/** Number of tasks per job that may be expected to exceed the run time used for the estimate. */
 const expectedLateTasksPerJob = 0.01;
-/** The queue isn't served strictly in the order of arrival, and what's learned lags: waits turn out this much longer. */
+/** Compensates for out-of-order service and outdated run time statistics when estimating waits. */
 const waitSafetyFactor = 1.25;
 const maximumRetryAfterMilliseconds = 10_000;
 const minimumRetryAfterMilliseconds = 100;
-/** A rate's bucket holds one second's worth, and one job of the largest size. */
+/** Lower bound for the burst size of a rate limit; allows one job of the maximum size. */
 const minimumBurstTasks = 200;
 
 type Want = Extract<PlacementRequest, {kind: 'want'}>;
 
-/**
- * A job is taken whole or refused whole, at once and before anything of it runs: a job that is refused after some of
- * its tasks ran has wasted them.
- */
+/** Accepts or refuses a job as a whole before any task starts, so that no work is wasted on a job refused later. */
 export class AdmissionControl {
 	readonly #buckets = new Map<ProfileName, {readonly rate: number; readonly bucket: TokenBucket}>();
 
 	constructor(private readonly queue: FairQueue, private readonly slotTable: SlotTable, private readonly runTimes: RunTimes) {}
 
-	/** Returns why the job can't be taken, or nothing. */
+	/** Returns the reason for a refusal, or undefined if the job is admitted. */
 	refusalOf(want: Want, now: number): JobRefusal | undefined {
 		return this.#checkPlaceable(want) ?? this.#checkTaskLimits(want) ?? this.#checkDeadline(want) ?? this.#checkRate(want, now);
 	}
 
-	/** How long the last of so many more tasks of a profile would wait for a slot, in milliseconds. */
+	/** Expected wait for a slot, in milliseconds, of the last of `tasks` additional tasks of the profile. */
 	#expectedWait(want: Want, tasks: number): number {
 		const mean = this.runTimes.mean(want.profile, want.tasks[0]?.declaredMilliseconds);
 		const work = this.queue.workUntilServed(want.profile, want.weight, tasks * mean);
-		// Slots that are free take their tasks at once; with a queue there are none.
+		// With an empty queue, free slots are assigned immediately.
 		const isIdle = this.queue.length === 0;
 		const startedAtOnce = isIdle ? this.slotTable.freeSlots * mean : 0;
 		return Math.max(0, work - startedAtOnce) / Math.max(1, this.slotTable.totalSlots);
@@ -70,7 +67,7 @@
 		return undefined;
 	}
 
-	/** Refuses what would miss its deadline anyway: it would take slots from what can still make it. */
+	/** Refuses jobs that are expected to miss their deadline, to keep slots for jobs that can still meet theirs. */
 	#checkDeadline(want: Want): JobRefusal | undefined {
 		const declared = want.tasks[0]?.declaredMilliseconds;
 		const wait = this.#expectedWait(want, want.tasks.length);
@@ -81,7 +78,7 @@
 		}
 
 		const detail = `the answer is expected in ${Math.round(wait + slowRunTime)} ms, the deadline is in ${Math.round(want.remainingMilliseconds)} ms`;
-		// With an empty queue no later time is better: the deadline itself is too short, and no retry is suggested.
+		// If the wait is negligible, a later attempt would fail as well, so no retry is suggested.
 		return wait < 1 ? {cause: 'deadlineUnreachable', detail} : {cause: 'deadlineUnreachable', detail, retryAfterMilliseconds: boundedRetryAfter(excess)};
 	}
 
--- a/src/features/placement/arbiter-election.ts
+++ b/src/features/placement/arbiter-election.ts
@@ -1,4 +1,4 @@
-/** The office of the arbiter of this entry's zone. */
+/** Election of the arbiter of this entry's zone. */
 import {match} from 'ts-pattern';
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
@@ -16,16 +16,16 @@
 import type {ElectionMessage} from './election-message.js';
 import {zonePeersOf} from './zone-peers-of.js';
 
-/** The owner calls `tick` this often. */
+/** Interval at which the owner calls `tick`. */
 const tickMilliseconds = 100;
-/** A holder that was paused for so long finds out on its first tick, and gives the office up. */
+/** An arbiter that was paused for longer than this gives up its role on the next tick. */
 const pauseLimitMilliseconds = 1000;
 
 /**
- * One entry of a zone is its arbiter, for as long as some peer answers it. Another one takes over on
- * proof that it's gone, or when neither it nor any peer that it can reach has heard of the holder for longer than the
- * holder's lease. Should two entries hold the office all the same (a cut that runs between them and leaves each a
- * peer), targets refuse what exceeds their slots, and the later epoch wins when they hear of each other.
+ * Elects one entry per zone as its arbiter, which keeps the role while at least one peer answers it. Another entry
+ * takes over when the arbiter is known to be dead, or when neither that entry nor any reachable peer has heard from
+ * the arbiter for longer than its lease. If a network partition still produces two arbiters, targets reject requests
+ * that exceed their slots, and the higher epoch wins once the two hear of each other.
  */
 export class ArbiterElection implements Disposable {
 	static readonly tickMilliseconds = tickMilliseconds;
@@ -64,12 +64,12 @@
 		return this.#becameArbiter.event;
 	}
 
-	/** Fires when this entry is the arbiter no longer. */
+	/** Fires when this entry is no longer the arbiter. */
 	get onDidLoseRole() {
 		return this.#lostRole.event;
 	}
 
-	/** Fires when another holder is known than before. */
+	/** Fires when the known holder of the role changes. */
 	get onDidChangeHolder() {
 		return this.#changedHolder.event;
 	}
@@ -78,7 +78,7 @@
 		return this.#holder?.member === this.membership.self.id;
 	}
 
-	/** Whether this entry may lend slots right now; asked before each grant, on the monotonic clock. */
+	/** Whether this entry may grant slots now. Must be checked before each grant. */
 	canGrant(): boolean {
 		const isPaused = this.clock.now() - this.#tickedAt > pauseLimitMilliseconds;
 		return this.isArbiter && !this.#hasResigned && !isPaused && this.#lease.isValid;
@@ -137,7 +137,10 @@
 		this.#candidacy.holderLost();
 	}
 
-	/** Gives the office up for good, to the successor that's returned; none where the entry isn't the holder. */
+	/**
+	 * Permanently resigns the role. Returns the successor, or undefined if this entry isn't the arbiter or no peer
+	 * can succeed it.
+	 */
 	resign(held: Extract<ElectionMessage, {kind: 'handover'}>['held']): Member | undefined {
 		this.#hasResigned = true;
 		const responsive = zonePeersOf(this.membership).filter(member => !this.membership.isSilent(member.id));
@@ -157,7 +160,7 @@
 	}
 
 	#tickAsHolder(wasPaused: boolean): void {
-		// A paused holder may have been replaced: it knows nothing of the slots that were lent meanwhile.
+		// Another entry may have taken over during the pause and granted slots that are unknown here.
 		if (wasPaused) {
 			this.journal.record('tenurePaused', {epoch: this.#holder!.epoch});
 			this.#stepDown();
@@ -169,7 +172,7 @@
 	}
 
 	#receiveAnnouncement(from: Member, announcement: Extract<ElectionMessage, {kind: 'holds'}>): void {
-		// Within a zone pings tell who is there; a holder that asks another zone has nobody else to ask.
+		// Only announcements from other zones need an acknowledgement; within a zone, pings serve as one.
 		if (announcement.zone !== this.membership.self.zone) {
 			this.send(from, {kind: 'heard', stamp: announcement.stamp});
 			return;
--- a/src/features/placement/arbiter-lease.ts
+++ b/src/features/placement/arbiter-lease.ts
@@ -1,4 +1,4 @@
-/** How long the arbiter's office is held, and what its holder does to go on holding it. */
+/** Lease on the arbiter role, and its renewal. */
 import type {Clock} from '../../base/clock.js';
 import {rankByKey} from '../../base/rank-by-key.js';
 import type {Member} from '../../runtime/peers/member.js';
@@ -6,14 +6,14 @@
 import type {ElectionMessage} from './election-message.js';
 import {zonePeersOf} from './zone-peers-of.js';
 
-/** News are told at once; this only repairs a lost message. */
+/** Changes are announced immediately; the periodic announcement makes up for lost messages. */
 const announcementPeriodMilliseconds = 5000;
-/** How often peers of other zones are asked for a sign of life when none of the own zone gives one. */
+/** Interval between announcements to other zones while no peer of the own zone answers. */
 const witnessQueryPeriodMilliseconds = 400;
-/** A holder grants for so long after the sending of a ping, or an announcement, that some peer answered. */
+/** Validity of the lease, counted from the sending of the latest ping or announcement that a peer answered. */
 const leaseMilliseconds = 1600;
 
-/** Any peer's answer renews it: within a zone pings tell who is there, and another zone answers announcements. */
+/** Renewed by an answer from any peer: to pings within the zone, to announcements from other zones. */
 export class ArbiterLease {
 	#acknowledgedAt = Number.NEGATIVE_INFINITY;
 	#announcedAt = Number.NEGATIVE_INFINITY;
@@ -25,27 +25,27 @@
 		private readonly send: (to: Member, message: ElectionMessage) => void,
 	) {}
 
-	/** Whether no other entry can have taken the office. */
+	/** Whether it's certain that no other entry has taken over the role. */
 	get isValid(): boolean {
 		return !this.#hasCompetitors() || this.clock.now() - this.#answeredSendTime() < leaseMilliseconds;
 	}
 
-	/** Forgets the answers to an earlier tenure. */
+	/** Discards acknowledgements received during an earlier term. */
 	reset(): void {
 		this.#acknowledgedAt = Number.NEGATIVE_INFINITY;
 	}
 
-	/** Tells the zone who holds the office. */
+	/** Announces this entry as arbiter to all peers of its zone. */
 	announce(epoch: number): void {
 		this.#sendAnnouncement(epoch, zonePeersOf(this.membership));
 	}
 
-	/** A peer of another zone answered the announcement that was sent then. */
+	/** Records the acknowledgement by another zone of the announcement sent at `stamp`. */
 	recordAcknowledgement(stamp: number): void {
 		this.#acknowledgedAt = Math.max(this.#acknowledgedAt, stamp);
 	}
 
-	/** Repeats the announcement now and then, and asks other zones when half of the lease is over. */
+	/** Repeats the announcement periodically, and contacts other zones once half of the lease has passed. */
 	renew(epoch: number): void {
 		const now = this.clock.now();
 		if (now - this.#announcedAt >= announcementPeriodMilliseconds) {
@@ -59,18 +59,18 @@
 		}
 	}
 
-	/** Whether the zone has, or may have, another entry that could take the office. */
+	/** Whether the zone has, or may have, another entry that could take over the role. */
 	#hasCompetitors(): boolean {
 		return zonePeersOf(this.membership).length > 0 || this.membership.isUnresolved(this.membership.self.zone);
 	}
 
-	/** When the holder last sent something that a peer answered. */
+	/** Send time of the latest message that a peer answered. */
 	#answeredSendTime(): number {
 		const inZone = zonePeersOf(this.membership).map(member => this.membership.reachedAt(member.id) ?? Number.NEGATIVE_INFINITY);
 		return Math.max(this.#acknowledgedAt, ...inZone);
 	}
 
-	/** One entry of each other zone. */
+	/** One entry from each other zone. */
 	#witnesses(): readonly Member[] {
 		const {self} = this.membership;
 		const zones = new Set(this.membership.all.map(member => member.zone));
--- a/src/features/placement/arbiter-session.ts
+++ b/src/features/placement/arbiter-session.ts
@@ -1,4 +1,4 @@
-/** What an entry has open with the arbiter of one zone, and when it tells the arbiter so. */
+/** Requests and slots of this entry at the arbiter of one zone. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
@@ -9,19 +9,19 @@
 import type {PlacementRequest} from './placement-request.js';
 import type {PendingSlotRequest} from './pending-slot-request.js';
 
-/** Every request shows that this entry is awake; without one for so long, a renewal does. */
+/** Maximum time between messages to the arbiter, which considers an entry without messages silent. */
 const renewalPeriodMilliseconds = 250;
-/** Counts are compared this often in any case. */
+/** Maximum time between renewals, by which the arbiter compares its counts with this entry's. */
 const comparisonPeriodMilliseconds = 2000;
 
 type HeldSlot = {readonly target: TargetAddress; readonly profile: PendingSlotRequest['request']['profile']; readonly endsAt: number};
 
-/** Tells a new arbiter of all that is open, and searches for one where none is known. */
+/** Renews the requests and slots, resends them to a new arbiter, and searches for an arbiter if none is known. */
 export class ArbiterSession {
 	readonly pendingRequests = new Map<TicketId, PendingSlotRequest>();
 	readonly heldSlots = new Map<TicketId, HeldSlot>();
 	#arbiter: MemberId | undefined;
-	/** When the arbiter was sent something last, and when a renewal. */
+	/** Send times of the latest request and the latest renewal. */
 	#requestedAt = Number.NEGATIVE_INFINITY;
 	#renewedAt = Number.NEGATIVE_INFINITY;
 
@@ -40,7 +40,10 @@
 		return this.pendingRequests.size + this.heldSlots.size === 0;
 	}
 
-	/** Asks the arbiter, or for it; a new one learns of the request with all that is open. */
+	/**
+	 * Sends a request, or searches for an arbiter if none is known; a new arbiter learns of the request from the
+	 * inventory.
+	 */
 	sendOrSearch(request: PlacementRequest): void {
 		if (this.#arbiter === undefined) {
 			this.#searchArbiter();
@@ -49,7 +52,7 @@
 		}
 	}
 
-	/** Tells the arbiter, if there is one, what a new one needn't know. */
+	/** Sends a request that is irrelevant to a new arbiter; dropped if no arbiter is known. */
 	sendIfKnown(request: PlacementRequest): void {
 		if (this.#arbiter !== undefined) {
 			this.#sendRequest(this.#arbiter, request);
@@ -84,7 +87,7 @@
 		}
 	}
 
-	/** The arbiter is told anew what is open: requests, or its replies, may have been lost with the connection. */
+	/** Resends the inventory, since requests or replies may have been lost with the connection. */
 	memberReconnected(member: MemberId): void {
 		if (this.#arbiter === member && !this.#isIdle) {
 			this.sendInventory(member);
@@ -97,7 +100,7 @@
 		}
 	}
 
-	/** A member isn't the arbiter any more. */
+	/** Handles the reply that a member is no longer the arbiter. */
 	arbiterResigned(member: MemberId): void {
 		if (this.#arbiter === member) {
 			this.#arbiter = undefined;
--- a/src/features/placement/arbiter.ts
+++ b/src/features/placement/arbiter.ts
@@ -1,4 +1,4 @@
-/** Lends the slots of one availability zone. */
+/** Allocates the target slots of one availability zone. */
 import {match} from 'ts-pattern';
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
@@ -34,7 +34,7 @@
 
 type ArbiterParts = {
 	readonly zone: AvailabilityZone;
-	readonly placement: PlacementPolicy;
+	readonly policy: PlacementPolicy;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly journal: Journal;
@@ -43,8 +43,8 @@
 };
 
 /**
- * All entries that send work to the zone ask this one for slots; tasks wait in its queue until a slot is free. It acts
- * only on messages and on `tick`, and only while `mayGrant` says so.
+ * Receives the slot requests of all entries that send work to the zone, and queues tasks until a slot is free. Acts
+ * only on messages and on `tick`, and grants slots only while `canGrant` returns true.
  */
 export class Arbiter {
 	readonly #slotTable: SlotTable;
@@ -83,19 +83,19 @@
 		return this.#queuedTasks.size;
 	}
 
-	/** All slots that are lent, for a successor. */
+	/** All leased slots, for handover to a successor. */
 	get leasedSlots(): readonly LeasedSlot[] {
 		return this.#slotTable.leasedSlots;
 	}
 
-	/** Takes over what a predecessor lent. */
+	/** Takes over the slots that the previous arbiter leased. */
 	adoptSlots(held: Extract<ElectionMessage, {kind: 'handover'}>['held']): void {
 		for (const {requester, ticket, target, profile, endsInMilliseconds} of held) {
 			this.#slotLeases.adopt(requester, {ticket, target, profile}, endsInMilliseconds);
 		}
 	}
 
-	/** Takes a request with the time that its sender's own clock showed when it was sent. */
+	/** Handles a request; `stamp` is the sender's clock at the time of sending. */
 	receive(from: MemberId, stamp: number, request: PlacementRequest): void {
 		const wasSilent = this.#requesters.recordRequest(from, stamp);
 		if (wasSilent) {
@@ -127,7 +127,7 @@
 		this.#placeQueuedTasks();
 	}
 
-	/** Withholds every slot that isn't accounted for, since the former arbiter may have lent it. */
+	/** Quarantines all slots that aren't known to be leased, since the previous arbiter may have leased them. */
 	beginQuarantine(): void {
 		this.#slotRecovery.beginQuarantine();
 	}
@@ -136,31 +136,34 @@
 		return this.#slotRecovery.quarantinedTargets;
 	}
 
-	/** Ends all quarantine: every lease of the former arbiter has ended by now. */
+	/** Ends the quarantine, once all leases of the previous arbiter have expired. */
 	endQuarantine(): void {
 		this.#slotRecovery.endQuarantine();
 		this.#placeQueuedTasks();
 	}
 
-	/** Targets that run tasks of entries that are gone. */
+	/** Targets that may still run tasks of entries that are gone. */
 	get orphanedTargets(): readonly Instance[] {
 		return this.#slotRecovery.orphanedTargets;
 	}
 
-	/** Takes a target's own word on what it runs. */
+	/** Applies the list of running tasks reported by a target. */
 	applyUsage(target: InstanceId, usage: TargetUsage): void {
 		this.#slotRecovery.applyUsage(target, usage);
 		this.#placeQueuedTasks();
 	}
 
-	/** Grants may have been lost with the connection: the requester is asked what it has. */
+	/** Requests an inventory, since grants may have been lost with the connection. */
 	requesterReconnected(member: MemberId): void {
 		if (this.#requesters.has(member)) {
 			this.#reconciliation.requestInventory(member);
 		}
 	}
 
-	/** A requester is gone for good: what it waits for is dropped, what it held stays taken until it has surely ended. */
+	/**
+	 * Removes a requester that is gone for good. Its queued tasks are dropped; its slots stay leased until they are
+	 * released by the target's report or expire.
+	 */
 	removeRequester(requester: MemberId): void {
 		this.#requesters.remove(requester);
 		this.#queuedTasks.removeAll(requester);
@@ -168,11 +171,11 @@
 		this.#placeQueuedTasks();
 	}
 
-	/** Ends leases, and refuses what can't make its deadline any more. */
+	/** Expires leases and refuses tasks whose deadline has passed. */
 	tick(): void {
 		this.#slotLeases.expireLeases();
-		// The wishes of a requester that fell silent would stand before those of others and get nothing. They are dropped,
-		// and asked for again when it's heard: the requester keeps them.
+		// Queued tasks of a silent requester would block others without being granted a slot. The requester keeps its
+		// requests and resends them when it's back.
 		for (const requester of this.#requesters.takeNewlySilent()) {
 			this.#queuedTasks.removeAll(requester);
 		}
@@ -205,7 +208,7 @@
 		return this.#queuedTasks.has(ticket) || this.#slotTable.slotOf(ticket) !== undefined;
 	}
 
-	/** Lends free slots until there are none, or nobody waits who can use one. */
+	/** Grants slots until none is free or no queued task can use one. */
 	#placeQueuedTasks(): void {
 		const grants = new Map<MemberId, Array<Extract<PlacementReply, {kind: 'granted'}>['grants'][number]>>();
 		while (this.parts.canGrant()) {
--- a/src/features/placement/candidacy.ts
+++ b/src/features/placement/candidacy.ts
@@ -1,4 +1,4 @@
-/** When an entry may take the arbiter's office of its zone. */
+/** Conditions under which an entry may take over the arbiter role of its zone. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import {rankByKey} from '../../base/rank-by-key.js';
@@ -9,11 +9,11 @@
 import type {ElectionMessage} from './election-message.js';
 import {zonePeersOf} from './zone-peers-of.js';
 
-/** A holder that nobody heard for so long has certainly stopped granting, whatever it still believes. */
+/** An arbiter that hasn't been heard for this long has lost its lease and no longer grants slots. */
 const holderSilenceMilliseconds = 2500;
-/** How often an entry that knows of no holder asks for one. */
+/** Interval between queries while no arbiter is known. */
 const queryPeriodMilliseconds = 200;
-/** How long an entry that knows of no holder asks before it may take the office. */
+/** Minimum time to search for an arbiter before taking over a vacant role. */
 const searchMilliseconds = 300;
 
 type CandidacyParts = {
@@ -24,7 +24,10 @@
 	readonly send: (to: Member, message: ElectionMessage) => void;
 };
 
-/** Only the first in rank takes the office: a vacant one when nobody told of a holder, a silent one's on witnesses' word. */
+/**
+ * Only the entry that is first in rank takes over: a vacant role when no peer reports an arbiter, or the role of a
+ * silent arbiter when witnesses confirm the silence.
+ */
 export class Candidacy {
 	#heardAt: number;
 	#queriedAt = Number.NEGATIVE_INFINITY;
@@ -35,28 +38,34 @@
 		this.#searchingSince = parts.clock.now();
 	}
 
-	/** Looks for a holder, or for a sign of life of the known one; returns whether this entry is to take the office now. */
+	/**
+	 * Queries peers for the arbiter or its liveness as needed; returns whether this entry should take over the role
+	 * now.
+	 */
 	shouldTakeOver(holder: MemberId | undefined): boolean {
 		return holder === undefined ? this.#checkVacancy() : this.#checkSilence(holder);
 	}
 
-	/** The holder gave a sign of life, or this entry couldn't have heard one. */
+	/**
+	 * Restarts the silence timeout, after a message from the arbiter or a time in which this entry couldn't receive
+	 * one.
+	 */
 	resetSilenceTimer(): void {
 		this.#heardAt = this.parts.clock.now();
 	}
 
-	/** This entry lost the office in a pause, and doesn't know who has it. */
+	/** Restarts the search after this entry lost the role during a pause. */
 	restart(): void {
 		this.resetSilenceTimer();
 		this.#searchingSince = this.parts.clock.now();
 	}
 
-	/** The holder is gone for certain: there's nobody to ask for. */
+	/** The arbiter is known to be gone, so no search is needed before a takeover. */
 	holderLost(): void {
 		this.#searchingSince = Number.NEGATIVE_INFINITY;
 	}
 
-	/** Whoever knows of no holder asks; only the first in rank may take the office, when nobody told of one. */
+	/** Queries all peers of the zone; only the first in rank takes over, if no peer reports an arbiter. */
 	#checkVacancy(): boolean {
 		const {membership, clock, send} = this.parts;
 		const now = clock.now();
--- a/src/features/placement/election-message-schema.ts
+++ b/src/features/placement/election-message-schema.ts
@@ -1,4 +1,4 @@
-/** How entries agree on the arbiter of a zone. */
+/** Messages of the arbiter election. */
 import * as z from 'zod';
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {InstanceId} from '../../base/instance-id.js';
@@ -10,8 +10,9 @@
 const member = z.string().transform(text => text as MemberId);
 
 /**
- * `holds` announces the arbiter, and is acknowledged with `heard`; `who` asks for it; `alive` asks how long ago a member
- * was heard of, and `aliveReply` tells; `handover` gives the office to a successor with all slots that are lent.
+ * `holds` announces the arbiter and is acknowledged with `heard`; `who` asks for the arbiter; `nobody` replies that
+ * none is known; `alive` asks how long ago a member was last heard, and `aliveReply` answers it; `handover` transfers
+ * the role to a successor, with all leased slots.
  */
 export const electionMessageSchema = z.discriminatedUnion('kind', [
 	z.object({
--- a/src/features/placement/fair-queue.ts
+++ b/src/features/placement/fair-queue.ts
@@ -1,22 +1,22 @@
-/** The waiting tasks of a zone. */
+/** Queue of the waiting tasks of a zone. */
 import {JobQueue} from './job-queue.js';
 import type {QueuedTask} from './queued-task.js';
 
-/** Tasks of one profile that the same targets can take. */
+/** Queued tasks with the same profile and the same requirements on targets. */
 type Flow = {
 	readonly profile: string;
 	readonly weight: number;
 	readonly jobs: JobQueue;
-	/** Work that the flow was given, divided by its weight: the flow with the minimum is next. */
+	/** Served work divided by the weight; the flow with the lowest value is served next. */
 	virtualTime: number;
-	/** Work that waits, in milliseconds. */
+	/** Expected run time of the queued tasks. */
 	backlogMilliseconds: number;
 	waiting: number;
 };
 
 /**
- * Weighted fair queueing over flows: under load each profile gets slots by its weight, whatever another one sends.
- * A flow that was empty starts level with the backlogged ones, so that silence saves nothing up.
+ * Weighted fair queueing: under load, each profile receives slots in proportion to its weight. A flow that was empty
+ * starts at the lowest virtual time of the backlogged flows, so that idle time earns no credit.
  */
 export class FairQueue {
 	readonly #flows = new Map<string, Flow>();
@@ -38,7 +38,7 @@
 		this.#waiting += 1;
 	}
 
-	/** Marks a wish as gone; its place in the queue is dropped later, its weight at once. */
+	/** Marks a task as removed and updates the counts; the entry itself is dropped lazily. */
 	remove(ticket: QueuedTask): void {
 		if (ticket.isRemoved) {
 			return;
@@ -49,8 +49,8 @@
 	}
 
 	/**
-	 * Takes the next ticket that the visitor accepts. It's asked once for each flow, in the order of fairness: a flow
-	 * whose next task has no target waits without holding up the others.
+	 * Takes the next task that `accepts` returns true for. Offers one task per flow, in fair order, so that a flow
+	 * whose next task has no target doesn't block the others.
 	 */
 	takeNext(now: number, accepts: (ticket: QueuedTask) => boolean): QueuedTask | undefined {
 		const backlogged = [...this.#flows.values()].filter(flow => flow.waiting > 0);
@@ -79,8 +79,8 @@
 	}
 
 	/**
-	 * Work that is served until work added to the profile's flow now would have been, in milliseconds of one slot each:
-	 * the flow's own with the added, and what other flows get meanwhile.
+	 * Work served before work added now to the profile would complete, in milliseconds on one slot: the profile's own
+	 * backlog, the added work, and what other profiles receive in the meantime.
 	 */
 	workUntilServed(profile: string, weight: number, addedMilliseconds: number): number {
 		let own = addedMilliseconds;
@@ -92,7 +92,7 @@
 		}
 
 		for (const flow of this.#flows.values()) {
-			// While the profile's own backlog is served, another flow gets its weight's share of the slots at most.
+			// Meanwhile, another flow receives at most its weighted share of the slots.
 			if (flow.profile !== profile) {
 				others += Math.min(flow.backlogMilliseconds, own * flow.weight / weight);
 			}
--- a/src/features/placement/granted-slot.ts
+++ b/src/features/placement/granted-slot.ts
@@ -1,8 +1,8 @@
-/** A slot that this entry may use. */
+/** Slot granted to this entry. */
 import type {TargetAddress} from '../../runtime/targets/target-address.js';
 import type {TicketId} from '../../base/ticket-id.js';
 
-/** To be used at once for the ticket's task, and released afterwards. */
+/** Must be used immediately for the ticket's task, and released afterwards. */
 export type GrantedSlot = {
 	readonly ticket: TicketId;
 	readonly target: TargetAddress;
--- a/src/features/placement/holder.ts
+++ b/src/features/placement/holder.ts
@@ -1,7 +1,7 @@
-/** The arbiter of a zone as an entry knows it. */
+/** Arbiter of a zone as known to an entry. */
 import type {MemberId} from '../../base/member-id.js';
 
-/** The office's holder; a higher epoch wins over a lower one, and among equals the greater id. */
+/** Holder of the arbiter role. The higher epoch takes precedence, then the greater member id. */
 export type Holder = {
 	readonly member: MemberId;
 	readonly epoch: number;
--- a/src/features/placement/job-queue.ts
+++ b/src/features/placement/job-queue.ts
@@ -1,4 +1,4 @@
-/** The waiting jobs of a lane. */
+/** Queued jobs of one flow. */
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {QueuedTask} from './queued-task.js';
 
@@ -11,18 +11,18 @@
 	isDone: boolean;
 };
 
-/** A job that has waited for this share of its time goes first, whatever it got already. */
+/** Share of its time to deadline after which a waiting job takes precedence. */
 const urgentAfterShare = 0.5;
 
 /**
- * The job that has got the fewest slots so far is next, among equals the one that came first. A job of one task doesn't
- * wait behind two hundred tasks of another; the large job hardly notices the few small ones that pass it. A job that has
- * used up half of its time goes before all others, so that under overload what was begun is finished.
+ * Serves the job with the fewest served tasks first, then the one that arrived first, so that small jobs don't wait
+ * behind large ones. A job that has used up half of its time takes precedence over all others, so that started jobs
+ * are completed under overload.
  */
 export class JobQueue {
-	/** Jobs by the number of slots that they got. */
+	/** Jobs indexed by the number of their served tasks. */
 	readonly #jobsByServedTasks: QueuedJob[][] = [];
-	/** In the order of their coming; those that are done are dropped when they come first. */
+	/** Jobs in order of arrival; completed jobs are dropped lazily. */
 	readonly #arrivals: QueuedJob[] = [];
 	readonly #jobs = new Map<SubmissionId, QueuedJob>();
 
@@ -47,13 +47,13 @@
 		this.#addByServedTasks(queued);
 	}
 
-	/** The next ticket, without taking it. */
+	/** Returns the next task without removing it. */
 	peek(now: number): QueuedTask | undefined {
 		const job = this.#firstJob(now);
 		return job?.tickets[job.head];
 	}
 
-	/** Drops the ticket that `first` returns. */
+	/** Removes the task that `peek` returns. */
 	shift(now: number): void {
 		const job = this.#firstJob(now);
 		if (job === undefined) {
@@ -89,7 +89,7 @@
 		return this.#urgentJob(now) ?? this.#leastServedJob();
 	}
 
-	/** The job that came first of those that have waited for long. */
+	/** The earliest job, if it has waited long enough to take precedence. */
 	#urgentJob(now: number): QueuedJob | undefined {
 		for (let job = this.#arrivals[0]; job !== undefined; job = this.#arrivals[0]) {
 			this.#skipRemoved(job);
--- a/src/features/placement/job-refusal.ts
+++ b/src/features/placement/job-refusal.ts
@@ -1,7 +1,7 @@
-/** Why an arbiter won't take a wish. */
+/** Reason why an arbiter refuses tasks of a job. */
 import type {PlacementReply} from './placement-reply.js';
 
 type Refused = Extract<PlacementReply, {kind: 'refused'}>;
 
-/** The part of a refusal that says why; nothing of the wish has run. */
+/** The reason contained in a refusal; none of the refused tasks has run. */
 export type JobRefusal = Pick<Refused, 'cause' | 'detail' | 'retryAfterMilliseconds'>;
--- a/src/features/placement/leased-slot.ts
+++ b/src/features/placement/leased-slot.ts
@@ -1,11 +1,11 @@
-/** A slot that is lent out. */
+/** Slot leased to an entry. */
 import type {InstanceId} from '../../base/instance-id.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {ProfileName} from '../../base/profile-name.js';
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {TicketId} from '../../base/ticket-id.js';
 
-/** One slot of one target, lent for one task; at the lease's end the target has stopped the task for certain. */
+/** One slot of one target, leased for one task. The target has stopped the task by the time the lease expires. */
 export type LeasedSlot = {
 	readonly requester: MemberId;
 	readonly ticket: TicketId;
@@ -16,6 +16,9 @@
 	readonly leaseEndsAt: number;
 	readonly memoryMegabytes: number;
 	readonly accelerators: number;
-	/** The requester is gone or lost sight of its task; the slot is free when the lease ends or the target says that the task has. */
+	/**
+	 * Set if the requester is gone or lost contact with the task. The slot is freed when the lease expires or the
+	 * target reports that the task has ended.
+	 */
 	isOrphaned: boolean;
 };
--- a/src/features/placement/mean-run-times.ts
+++ b/src/features/placement/mean-run-times.ts
@@ -1,12 +1,9 @@
-/** Learned mean run times. */
+/** Mean run times by profile. */
 import type {ProfileName} from '../../base/profile-name.js';
 import {ProfileSamples} from './profile-samples.js';
 import {MeanSample} from './mean-sample.js';
 
-/**
- * For an entry that needs no quantiles: the histograms of `RunTimes` take memory just by being loaded, which is dear on
- * small machines.
- */
+/** Alternative to `RunTimes` without quantiles, which avoids the memory cost of loading the histogram library. */
 export class MeanRunTimes {
 	readonly #samples = new ProfileSamples(() => new MeanSample());
 
@@ -14,7 +11,7 @@
 		this.#samples.record(profile, milliseconds);
 	}
 
-	/** In milliseconds; the declared time while too few tasks were measured. */
+	/** In milliseconds; the declared time until enough tasks have been measured. */
 	mean(profile: ProfileName, declaredMilliseconds: number): number {
 		return this.#samples.sufficientSample(profile)?.mean ?? declaredMilliseconds;
 	}
--- a/src/features/placement/mean-sample.ts
+++ b/src/features/placement/mean-sample.ts
@@ -1,6 +1,6 @@
-/** Measured run times of one profile, as their mean. */
+/** Running mean of the measured run times of one profile. */
 
-/** In milliseconds; the mean is running, so that reading it costs nothing. */
+/** Times are in milliseconds. */
 export class MeanSample {
 	#sum = 0;
 	#count = 0;
--- a/src/features/placement/network-slot-client.ts
+++ b/src/features/placement/network-slot-client.ts
@@ -1,4 +1,4 @@
-/** Asks the arbiters of all zones for slots, over the peer network. */
+/** Requests slots from the arbiters of all zones over the peer network. */
 import {match} from 'ts-pattern';
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
@@ -17,21 +17,21 @@
 import {SlotClient} from './slot-client.js';
 import type {SlotListener} from './slot-listener.js';
 
-/** The owner calls `tick` this often. */
+/** Interval at which the owner calls `tick`. */
 const tickMilliseconds = 100;
 /**
- * A grant whose echo of this entry's clock is older than this isn't used: the entry was paused since, or the grant was
- * held up, and the arbiter may have lent the slot to somebody else.
+ * Maximum age of a grant, measured by the echoed clock of this entry. The arbiter may have leased the slot of an
+ * older grant to another entry.
  */
 const maximumGrantAgeMilliseconds = 1000;
-/** A pending for another zone is given up when that zone's arbiter isn't found in this time. */
+/** Time after which requests to another zone are refused if its arbiter isn't found. */
 const otherZoneSearchMilliseconds = 1000;
-/** The own zone is given more: a new arbiter may have to wait until the former one's lease has ended. */
+/** Longer than for other zones, since a new arbiter may have to wait until the previous lease has expired. */
 const ownZoneSearchMilliseconds = 6000;
 
 type Want = Extract<PlacementRequest, {kind: 'want'}>;
 
-/** Keeps every pending until it's granted, refused or withdrawn. */
+/** Keeps each request until it's granted, refused or withdrawn. */
 export class NetworkSlotClient extends SlotClient {
 	static readonly tickMilliseconds = tickMilliseconds;
 
@@ -47,7 +47,7 @@
 		super();
 	}
 
-	/** Slots that this entry holds now. */
+	/** Number of slots that this entry holds. */
 	get heldSlots(): number {
 		return [...this.#sessions.values()].reduce((sum, session) => sum + session.heldSlots.size, 0);
 	}
@@ -100,7 +100,7 @@
 		}
 	}
 
-	/** Takes note of a zone's arbiter; a new one is told of all wishes and slots. */
+	/** Sets the arbiter of a zone; a new arbiter is sent all pending requests and held slots. */
 	setArbiter(zone: AvailabilityZone, holder: Holder | undefined): void {
 		this.#sessionFor(zone).setArbiter(holder?.member);
 	}
@@ -179,7 +179,7 @@
 		pending.listener.onDidRefuse(ticket, refusal);
 	}
 
-	/** Sends wishes again that the arbiter lacks; they were admitted before, or ask to be. */
+	/** Resends requests that are unknown to the arbiter; they bypass admission control. */
 	#resendRequests(arbiter: MemberId, tickets: readonly TicketId[]): void {
 		for (const ticket of tickets) {
 			const pending = this.#sessionByTicket.get(ticket)?.pendingRequests.get(ticket);
--- a/src/features/placement/placement-policies.ts
+++ b/src/features/placement/placement-policies.ts
@@ -1,9 +1,9 @@
-/** The policies that registered themselves. */
+/** Registry of placement policies. */
 import type {PlacementPolicy} from './placement-policy.js';
 
 const registered = new Map<string, PlacementPolicy>();
 
-/** Policy files call `register` when they are imported; the settings name one. */
+/** Policies register themselves when their modules are imported; the settings select one by name. */
 export const placementPolicies = {
 	register(placement: PlacementPolicy): void {
 		registered.set(placement.name, placement);
--- a/src/features/placement/placement-reply-schema.ts
+++ b/src/features/placement/placement-reply-schema.ts
@@ -1,4 +1,4 @@
-/** What the arbiter of a zone tells entries. */
+/** Replies of an arbiter to entries. */
 import * as z from 'zod';
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {InstanceId} from '../../base/instance-id.js';
@@ -8,9 +8,9 @@
 const zone = z.string().transform(text => text as AvailabilityZone);
 
 /**
- * `granted` lends slots, with the requester's own clock time as the arbiter last heard it; `refused` ends wishes;
- * `recount` asks for an inventory; `unknown` names
- * wishes that the arbiter doesn't have; `elsewhere` says that the sender isn't the arbiter.
+ * `granted` leases slots and echoes the requester's latest clock stamp; `refused` ends requests; `recount` asks for
+ * an inventory; `unknown` lists requests that the arbiter doesn't have; `elsewhere` reports that the sender isn't the
+ * arbiter.
  */
 export const placementReplySchema = z.discriminatedUnion('kind', [
 	z.object({
--- a/src/features/placement/placement-request-schema.ts
+++ b/src/features/placement/placement-request-schema.ts
@@ -1,4 +1,4 @@
-/** What entries ask of the arbiter of a zone. */
+/** Requests of entries to the arbiter of a zone. */
 import * as z from 'zod';
 import type {InstanceId} from '../../base/instance-id.js';
 import type {ProfileName} from '../../base/profile-name.js';
@@ -11,15 +11,16 @@
 const profile = z.string().max(64).transform(text => text as ProfileName);
 
 /**
- * `want` asks for slots for tasks of one job, all or none of which are admitted; `release` gives a slot back with what
- * became of the task; `withdraw` takes wishes back; `renew` tells how many slots and wishes the requester has; `inventory` names them after the arbiter asked to count again.
+ * `want` requests slots for tasks of one job, which are admitted or refused together; `release` returns a slot with
+ * the outcome of its task; `withdraw` cancels requests; `renew` reports the number of held slots and waiting
+ * requests; `inventory` lists them, in reply to `recount` or for a new arbiter.
  */
 export const placementRequestSchema = z.discriminatedUnion('kind', [
 	z.object({
 		kind: z.literal('want'),
 		job: z.string().max(256).transform(text => text as SubmissionId),
 		profile,
-		/** The profile's weight with its priority worked in. */
+		/** Weight of the profile, including its priority. */
 		weight: z.number().positive(),
 		limits: z.object({
 			tasksPerSecond: z.number().optional(),
@@ -28,9 +29,9 @@
 		}),
 		/** Time until the job's deadline. */
 		remainingMilliseconds: z.number(),
-		/** A target stops a task that runs longer; with it a slot's lease ends. */
+		/** Run time limit after which the target stops the task; determines the end of the lease. */
 		limitMilliseconds: z.number().positive(),
-		/** Wishes that were admitted before: a new try of a task, or a copy for a new arbiter. */
+		/** Set for requests that were admitted before: retries, and requests resent to a new arbiter. */
 		isAdmitted: z.boolean(),
 		tasks: z.array(requestedTaskSchema).min(1).max(200),
 	}),
--- a/src/features/placement/placement-service.ts
+++ b/src/features/placement/placement-service.ts
@@ -1,4 +1,4 @@
-/** This entry's part in the placement: its desk, its zone's office, and the arbiter while it holds that. */
+/** Runs the slot client, the arbiter election and, while elected, the arbiter of this entry. */
 import * as z from 'zod';
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
@@ -27,20 +27,20 @@
 import {electionMessageSchema} from './election-message-schema.js';
 
 const channel = 'placement';
-/** How often targets are asked what they run while some of their slots aren't accounted for. */
+/** Interval between usage queries to targets with quarantined or orphaned slots. */
 const usageQueryPeriodMilliseconds = 250;
-/** A target's word counts once what a dead entry had sent last has certainly arrived. */
+/** Delay before the first usage query, so that the last requests of a dead entry have reached the targets. */
 const settlingMilliseconds = 300;
 
 const messageSchema = z.discriminatedUnion('to', [
-	/** The stamp is the time on the sender's own clock, which grants bring back. */
+	/** `stamp` is the sender's clock, which grants echo. */
 	z.object({to: z.literal('arbiter'), stamp: z.number(), request: placementRequestSchema}),
 	z.object({to: z.literal('desk'), reply: placementReplySchema}),
 	z.object({to: z.literal('tenure'), message: electionMessageSchema}),
 ]);
 
 type PlacementServiceParts = {
-	readonly placement: PlacementPolicy;
+	readonly policy: PlacementPolicy;
 	readonly quarantineMilliseconds: number;
 	readonly network: PeerNetwork;
 	readonly membership: Membership;
@@ -51,7 +51,7 @@
 	readonly journal: Journal;
 };
 
-/** Owns the three parts and carries messages between them and the network. */
+/** Routes messages between its components and the network. */
 export class PlacementService implements Disposable {
 	readonly #store = new DisposableStore();
 	readonly #election: ArbiterElection;
@@ -107,7 +107,7 @@
 			this.#slotClient.memberLost(loss);
 			this.#arbiter?.removeRequester(loss.member.id);
 		}));
-		// What was under way on the lost connection is told again, on both sides.
+		// Requests and replies may have been lost with the connection, so both sides compare their state.
 		this.#store.add(this.parts.network.onDidReconnect(member => {
 			this.#slotClient.memberReconnected(member.id);
 			this.#arbiter?.requesterReconnected(member.id);
@@ -127,7 +127,10 @@
 		}));
 	}
 
-	/** Hands the office over if this entry holds it; it stays a requester until its work has ended. */
+	/**
+	 * Hands over the arbiter role if this entry has it. The entry continues to request slots until its jobs have
+	 * ended.
+	 */
 	resign(): void {
 		const now = this.parts.clock.now();
 		const held = this.#arbiter?.leasedSlots.map(({requester, ticket, target, profile, leaseEndsAt}) => ({
@@ -158,7 +161,7 @@
 		}
 	}
 
-	/** An announcement of another zone's arbiter answers a question of the desk. */
+	/** An announcement from another zone answers a query of the slot client. */
 	#receiveTenure(from: Member, message: ElectionMessage): void {
 		if (message.kind === 'holds' && message.zone !== this.parts.membership.self.zone) {
 			this.#slotClient.setArbiter(message.zone, {member: message.holder, epoch: message.epoch});
--- a/src/features/placement/placement.contribution.ts
+++ b/src/features/placement/placement.contribution.ts
@@ -22,13 +22,13 @@
 
 	override activate(services: ServiceContainer, store: DisposableStore): void {
 		const settings = services.get(runtimeKeys.settings).placement;
-		const placement = placementPolicies.get(settings.policy);
-		if (placement === undefined) {
-			throw new Error(`placement.policy = ${settings.policy}: one of ${placementPolicies.names().join(', ')}`);
+		const policy = placementPolicies.get(settings.policy);
+		if (policy === undefined) {
+			throw new Error(`unknown placement.policy "${settings.policy}"; expected one of: ${placementPolicies.names().join(', ')}`);
 		}
 
 		const zonePlacement = store.add(new PlacementService({
-			placement,
+			policy,
 			quarantineMilliseconds: settings.quarantineMilliseconds,
 			network: services.get(runtimeKeys.peerNetwork),
 			membership: services.get(membershipKey),
--- a/src/features/placement/policies/fixed-shares.ts
+++ b/src/features/placement/policies/fixed-shares.ts
@@ -1,10 +1,10 @@
-/** Baseline: slots divided once and for all. */
+/** Baseline policy with a fixed share of the slots for each entry. */
 import type {MemberId} from '../../../base/member-id.js';
 import type {TargetCandidate} from '../target-candidate.js';
 import {PlacementPolicy} from '../placement-policy.js';
 import {placementPolicies} from '../placement-policies.js';
 
-/** Gives each entry of the zone an equal share of every target's slots, used or not. */
+/** Assigns each entry of the zone an equal share of every target's slots, whether used or not. */
 class FixedShares extends PlacementPolicy {
 	override readonly name = 'fixed-shares';
 	override readonly binding = 'late';
--- a/src/features/placement/policies/late-binding.ts
+++ b/src/features/placement/policies/late-binding.ts
@@ -1,11 +1,11 @@
-/** The policy in use. */
+/** Default placement policy. */
 import type {TargetCandidate} from '../target-candidate.js';
 import {PlacementPolicy} from '../placement-policy.js';
 import {placementPolicies} from '../placement-policies.js';
 
 /**
- * Waits for a slot, then takes the fittest target: one that isn't slow, in a rack with fewer tasks of the same job, with
- * the most free slots. A target that is due for a probe gets it first, since nothing else brings it back.
+ * Prefers targets due for a probe, since only a probe can readmit them, then targets that aren't slow, with the
+ * fewest tasks of the same job in their rack, and with the most free slots.
  */
 class LateBinding extends PlacementPolicy {
 	override readonly name = 'late-binding';
--- a/src/features/placement/policies/least-in-flight.ts
+++ b/src/features/placement/policies/least-in-flight.ts
@@ -1,9 +1,9 @@
-/** Baseline: what one entry alone can see. */
+/** Baseline policy that considers only the requester's own load. */
 import type {TargetCandidate} from '../target-candidate.js';
 import {PlacementPolicy} from '../placement-policy.js';
 import {placementPolicies} from '../placement-policies.js';
 
-/** Binds at arrival to the target with the fewest tasks of the same entry, knowing nothing of the other entries'. */
+/** Binds on arrival to the target with the fewest tasks of the same entry, ignoring the tasks of other entries. */
 class LeastInFlight extends PlacementPolicy {
 	override readonly name = 'least-in-flight';
 	override readonly binding = 'early';
--- a/src/features/placement/policies/power-of-two.ts
+++ b/src/features/placement/policies/power-of-two.ts
@@ -1,10 +1,10 @@
-/** Baseline: the better of two. */
+/** Baseline policy with two random choices. */
 import type {Random} from '../../../base/random.js';
 import type {TargetCandidate} from '../target-candidate.js';
 import {PlacementPolicy} from '../placement-policy.js';
 import {placementPolicies} from '../placement-policies.js';
 
-/** Binds at arrival to the one of two random targets with fewer tasks running and waiting. */
+/** Binds on arrival to the less loaded of two random targets. */
 class PowerOfTwo extends PlacementPolicy {
 	override readonly name = 'power-of-two';
 	override readonly binding = 'early';
--- a/src/features/placement/policies/random-choice.ts
+++ b/src/features/placement/policies/random-choice.ts
@@ -1,10 +1,10 @@
-/** Baseline: any target. */
+/** Baseline policy with a random choice. */
 import type {Random} from '../../../base/random.js';
 import type {TargetCandidate} from '../target-candidate.js';
 import {PlacementPolicy} from '../placement-policy.js';
 import {placementPolicies} from '../placement-policies.js';
 
-/** Binds at arrival to a target picked at random. */
+/** Binds on arrival to a random target. */
 class RandomChoice extends PlacementPolicy {
 	override readonly name = 'random';
 	override readonly binding = 'early';
--- a/src/features/placement/policies/round-robin.ts
+++ b/src/features/placement/policies/round-robin.ts
@@ -1,9 +1,9 @@
-/** Baseline: one target after the other. */
+/** Baseline policy with round-robin order. */
 import type {TargetCandidate} from '../target-candidate.js';
 import {PlacementPolicy} from '../placement-policy.js';
 import {placementPolicies} from '../placement-policies.js';
 
-/** Binds at arrival to the next target in the order of the list. */
+/** Binds on arrival to the next target in list order. */
 class RoundRobin extends PlacementPolicy {
 	override readonly name = 'round-robin';
 	override readonly binding = 'early';
--- a/src/features/placement/profile-samples.ts
+++ b/src/features/placement/profile-samples.ts
@@ -1,16 +1,16 @@
-/** Samples of measured run times, which follow changes. */
+/** Run time samples by profile. */
 import type {ProfileName} from '../../base/profile-name.js';
 import type {MeanSample} from './mean-sample.js';
 
-/** A sample that is this full becomes the older one of two, so that old behaviour is forgotten. */
+/** A sample that reaches this size is replaced, so that outdated measurements expire. */
 const maximumTasksPerSample = 2000;
-/** Below so many tasks the declared time counts. */
+/** Minimum number of tasks for a sample to be used in place of the declared time. */
 const minimumTasks = 10;
 
-/** Two samples that take turns. */
+/** The sample being filled, and the last complete one. */
 type SamplePair<Sample> = {current: Sample; previous: Sample | undefined};
 
-/** A sample for each profile, once there are enough tasks to go by. */
+/** Keeps a current and a previous sample for each profile. */
 export class ProfileSamples<Sample extends MeanSample> {
 	readonly #pairs = new Map<ProfileName, SamplePair<Sample>>();
 
--- a/src/features/placement/queued-tasks.ts
+++ b/src/features/placement/queued-tasks.ts
@@ -1,4 +1,4 @@
-/** The wishes that wait for a slot, and which of them is next. */
+/** Tasks that wait for a slot. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {Random} from '../../base/random.js';
@@ -15,7 +15,7 @@
 type Want = Extract<PlacementRequest, {kind: 'want'}>;
 
 type QueuedTasksParts = {
-	readonly placement: PlacementPolicy;
+	readonly policy: PlacementPolicy;
 	readonly clock: Clock;
 	readonly random: Random;
 	readonly queue: FairQueue;
@@ -24,7 +24,10 @@
 	readonly requesters: Requesters;
 };
 
-/** Late binding keeps wishes in a queue until a slot is free; early binding ties each to a target when it comes. */
+/**
+ * With late binding, keeps tasks in the fair queue until a slot is free; with early binding, assigns each task to a
+ * target on arrival.
+ */
 export class QueuedTasks {
 	readonly #tickets = new Map<TicketId, QueuedTask>();
 
@@ -42,27 +45,27 @@
 		return [...this.#tickets.values()].filter(ticket => ticket.requester === requester);
 	}
 
-	/** Those whose deadline has passed. */
+	/** Tasks whose deadline has passed. */
 	expired(now: number): readonly QueuedTask[] {
 		return [...this.#tickets.values()].filter(ticket => now >= ticket.deadlineAt);
 	}
 
 	add(requester: MemberId, request: Want, task: Want['tasks'][number]): void {
-		const {placement, clock, random, queue, slotTable, runTimes, requesters} = this.parts;
+		const {policy, clock, random, queue, slotTable, runTimes, requesters} = this.parts;
 		const now = clock.now();
 		const expectedMilliseconds = runTimes.mean(request.profile, task.declaredMilliseconds);
 		const deadlineAt = now + request.remainingMilliseconds;
-		const partition = placement.partitionOf(requester);
+		const partition = policy.partitionOf(requester);
 		const ticket: QueuedTask = {
 			requester, request, task, partition, arrivedAt: now, deadlineAt, expectedMilliseconds, isRemoved: false,
 		};
 		this.#tickets.set(task.ticket, ticket);
-		if (placement.binding === 'late') {
+		if (policy.binding === 'late') {
 			queue.push(ticket);
 			return;
 		}
 
-		const target = placement.choose(slotTable.candidatesFor(ticket, false, now), requesters.size, random);
+		const target = policy.choose(slotTable.candidatesFor(ticket, false, now), requesters.size, random);
 		if (target !== undefined) {
 			slotTable.bind(ticket, target.instance.id);
 		}
@@ -85,16 +88,16 @@
 
 	remove(ticket: QueuedTask): void {
 		this.#tickets.delete(ticket.task.ticket);
-		if (this.parts.placement.binding === 'late') {
+		if (this.parts.policy.binding === 'late') {
 			this.parts.queue.remove(ticket);
 		}
 
 		ticket.isRemoved = true;
 	}
 
-	/** Takes the next wish that a free slot suits, with the target; nothing where there's none. */
+	/** Takes the next task that a free slot can serve, with its target; undefined if there is none. */
 	takeNext(): {readonly ticket: QueuedTask; readonly instance: Instance} | undefined {
-		const next = this.parts.placement.binding === 'late' ? this.#takeQueued() : this.#takeBound();
+		const next = this.parts.policy.binding === 'late' ? this.#takeQueued() : this.#takeBound();
 		if (next !== undefined) {
 			this.#tickets.delete(next.ticket.task.ticket);
 		}
@@ -103,7 +106,7 @@
 	}
 
 	#takeQueued(): {readonly ticket: QueuedTask; readonly instance: Instance} | undefined {
-		const {placement, clock, random, queue, slotTable, requesters} = this.parts;
+		const {policy, clock, random, queue, slotTable, requesters} = this.parts;
 		const now = clock.now();
 		let chosen: Instance | undefined;
 		const ticket = queue.takeNext(now, head => {
@@ -112,7 +115,7 @@
 			}
 
 			const candidates = slotTable.candidatesFor(head, true, now);
-			chosen = placement.choose(candidates, requesters.size, random)?.instance;
+			chosen = policy.choose(candidates, requesters.size, random)?.instance;
 			return chosen !== undefined;
 		});
 		return ticket === undefined || chosen === undefined ? undefined : {ticket, instance: chosen};
--- a/src/features/placement/reconciliation.ts
+++ b/src/features/placement/reconciliation.ts
@@ -1,4 +1,4 @@
-/** Settles the differences between what an arbiter knows of a requester and what the requester knows. */
+/** Reconciles the arbiter's state with that of a requester. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {TicketId} from '../../base/ticket-id.js';
@@ -19,8 +19,8 @@
 };
 
 /**
- * A grant or a release that was lost on the way leaves the two sides with different counts. Those that stay different
- * are settled by an inventory: the requester is right about what it holds and waits for.
+ * Lost grants and releases lead to different counts on the two sides. If the difference persists, the arbiter
+ * requests an inventory; the requester is authoritative for its held slots and waiting requests.
  */
 export class Reconciliation {
 	constructor(private readonly parts: ReconciliationParts) {}
--- a/src/features/placement/requesters.ts
+++ b/src/features/placement/requesters.ts
@@ -1,15 +1,15 @@
-/** The entries that ask an arbiter for slots, as it hears of them. */
+/** Entries that request slots from an arbiter. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 
-/** A requester that wasn't heard for so long gets no slot: it may be paused, and others wait. */
+/** A requester without messages for this long is granted no slots, since it may be paused. */
 const silenceMilliseconds = 1000;
-/** Counts that differ because a message is under way agree again by the next renewal. */
+/** Consecutive count mismatches tolerated, since a message may be in flight. */
 const maximumMismatches = 1;
 
 type Requester = {stamp: number; heardAt: number; mismatches: number; wasReportedSilent: boolean};
 
-/** Knows who is awake, the clocks that requests came with, and whose counts stay different. */
+/** Tracks the liveness, the latest clock stamp and the count mismatches of each requester. */
 export class Requesters {
 	readonly #requesters = new Map<MemberId, Requester>();
 
@@ -23,7 +23,7 @@
 		return this.#requesters.has(member);
 	}
 
-	/** Takes note of a request; returns whether its sender had been set aside as silent. */
+	/** Records a request; returns whether its sender had been reported as silent. */
 	recordRequest(member: MemberId, stamp: number): boolean {
 		const requester = this.#requesters.get(member) ?? {
 			stamp, heardAt: 0, mismatches: 0, wasReportedSilent: false,
@@ -36,7 +36,7 @@
 		return wasReportedSilent;
 	}
 
-	/** The latest time that the requester's own clock showed, which its grants bring back. */
+	/** Latest stamp of the requester's clock, which its grants echo. */
 	lastStampOf(member: MemberId): number {
 		return this.#requesters.get(member)?.stamp ?? 0;
 	}
@@ -46,7 +46,7 @@
 		return requester !== undefined && !this.#isSilent(requester);
 	}
 
-	/** Those that have fallen silent since the last call. */
+	/** Requesters that have become silent since the last call. */
 	takeNewlySilent(): readonly MemberId[] {
 		const silent = [...this.#requesters].filter(([, requester]) => !requester.wasReportedSilent && this.#isSilent(requester));
 		for (const [, requester] of silent) {
@@ -56,7 +56,7 @@
 		return silent.map(([member]) => member);
 	}
 
-	/** Takes the comparison of a requester's counts with the arbiter's own; returns whether they stay different. */
+	/** Records whether the requester's counts equal the arbiter's; returns whether a mismatch persists. */
 	recordComparison(member: MemberId, isEqual: boolean): boolean {
 		const requester = this.#requesters.get(member)!;
 		requester.mismatches = isEqual ? 0 : requester.mismatches + 1;
--- a/src/features/placement/role-transfer.ts
+++ b/src/features/placement/role-transfer.ts
@@ -1,7 +1,10 @@
-/** How an entry came to be its zone's arbiter. */
+/** How an entry became the arbiter of its zone. */
 import type {ElectionMessage} from './election-message.js';
 
-/** `handover`: the predecessor told what is lent; `takeover`: nobody did, and slots may be lent that nobody knows of. */
+/**
+ * `handover`: the previous arbiter passed on its leases; `takeover`: it didn't, so slots with unknown leases may
+ * exist.
+ */
 export type RoleTransfer =
 	| {readonly kind: 'handover'; readonly held: Extract<ElectionMessage, {kind: 'handover'}>['held']}
 	| {readonly kind: 'takeover'};
--- a/src/features/placement/run-time-sample.ts
+++ b/src/features/placement/run-time-sample.ts
@@ -1,15 +1,15 @@
-/** Measured run times of one profile. */
+/** Run time distribution of one profile. */
 import {build, type Histogram} from 'hdr-histogram-js';
 import {MeanSample} from './mean-sample.js';
 
 const maximumMilliseconds = 600_000;
 const significantDigits = 2;
-/** A quantile is worked out anew after so many more samples: each walk over the histogram costs as much as many tasks. */
+/** Number of new samples after which a cached quantile is recalculated; the calculation scans the histogram. */
 const samplesPerRecalculation = 50;
 
 type CachedQuantile = {readonly value: number; readonly samples: number};
 
-/** A histogram beside the running mean, which the histogram itself would work out by walking over all its buckets. */
+/** Histogram with a running mean, since the mean of the histogram itself requires a scan of all buckets. */
 export class RunTimeSample extends MeanSample {
 	readonly #histogram: Histogram = build({
 		lowestDiscernibleValue: 1, highestTrackableValue: maximumMilliseconds, numberOfSignificantValueDigits: significantDigits, bitBucketSize: 32,
@@ -21,7 +21,7 @@
 		this.#histogram.recordValue(Math.min(maximumMilliseconds, Math.max(1, Math.round(milliseconds))));
 	}
 
-	/** The time in milliseconds that a share of the tasks stays under. */
+	/** Run time in milliseconds that the given share of tasks doesn't exceed. */
 	quantile(share: number): number {
 		const cached = this.#quantiles.get(share);
 		if (cached !== undefined && this.count - cached.samples < samplesPerRecalculation) {
--- a/src/features/placement/run-times.ts
+++ b/src/features/placement/run-times.ts
@@ -1,12 +1,12 @@
-/** Learned run times. */
+/** Run time statistics by profile. */
 import type {ProfileName} from '../../base/profile-name.js';
 import {ProfileSamples} from './profile-samples.js';
 import {RunTimeSample} from './run-time-sample.js';
 
-/** For a task that nobody said or learned anything of. */
+/** Used if the run time was neither measured nor declared. */
 const defaultMilliseconds = 250;
 
-/** Run times by profile; declared ones serve only until there are enough measured ones. */
+/** Uses declared run times until enough tasks have been measured. */
 export class RunTimes {
 	readonly #samples = new ProfileSamples(() => new RunTimeSample());
 
@@ -19,7 +19,7 @@
 		return this.#samples.sufficientSample(profile)?.mean ?? declaredMilliseconds ?? defaultMilliseconds;
 	}
 
-	/** The time in milliseconds that a share of the tasks stays under. */
+	/** Run time in milliseconds that the given share of tasks doesn't exceed. */
 	quantile(profile: ProfileName, share: number, declaredMilliseconds?: number): number {
 		return this.#samples.sufficientSample(profile)?.quantile(share) ?? declaredMilliseconds ?? defaultMilliseconds;
 	}
--- a/src/features/placement/silence-check.ts
+++ b/src/features/placement/silence-check.ts
@@ -1,18 +1,18 @@
-/** Whether other entries hear of a holder that an entry doesn't hear. */
+/** Confirms with other entries that the arbiter is silent. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {Member} from '../../runtime/peers/member.js';
 import type {Membership} from '../membership/membership.js';
 import type {ElectionMessage} from './election-message.js';
 
-/** A witness that heard of the holder more recently than this contradicts its silence. */
+/** A witness that has heard the arbiter more recently than this contradicts the silence. */
 const minimumSilenceMilliseconds = 1500;
-/** How long witnesses have for their answers. */
+/** Time to wait for replies from witnesses. */
 const replyTimeoutMilliseconds = 500;
 
 type Poll = {readonly about: MemberId; readonly startedAt: number; silentReplies: number; aliveReplies: number};
 
-/** Asks all others, and answers those that ask; their silence proves nothing, one answer is needed. */
+/** Queries all peers and answers their queries. A missing reply confirms nothing; at least one reply is required. */
 export class SilenceCheck {
 	#poll: Poll | undefined;
 
@@ -22,7 +22,10 @@
 		private readonly send: (to: Member, message: ElectionMessage) => void,
 	) {}
 
-	/** Begins to ask, or ends after the time for answers: then it returns how many confirm the silence, if nobody contradicts. */
+	/**
+	 * Starts a query, or returns the result once the reply timeout has passed: the number of witnesses that confirm
+	 * the silence, or 0 if any contradicts it.
+	 */
 	pollWitnesses(about: MemberId): number {
 		const now = this.clock.now();
 		if (this.#poll === undefined) {
@@ -39,7 +42,7 @@
 		return aliveReplies === 0 ? silentReplies : 0;
 	}
 
-	/** The holder was heard. */
+	/** Cancels the query, after the arbiter was heard. */
 	cancel(): void {
 		this.#poll = undefined;
 	}
@@ -56,7 +59,7 @@
 		}
 	}
 
-	/** Only an entry that was in touch with a member can tell whether it fell silent. */
+	/** Replies only if this entry has been in contact with the member. */
 	replyTo(to: Member, about: MemberId): void {
 		const heardAgoMilliseconds = about === this.membership.self.id ? 0 : this.membership.heardAgo(about);
 		if (heardAgoMilliseconds !== undefined) {
--- a/src/features/placement/slot-client-key.ts
+++ b/src/features/placement/slot-client-key.ts
@@ -1,4 +1,4 @@
-/** The container's name for the slots of all zones. */
+/** Service key of the slot client. */
 import {ServiceKey} from '../../runtime/kernel/service-key.js';
 import type {SlotClient} from './slot-client.js';
 
--- a/src/features/placement/slot-client.ts
+++ b/src/features/placement/slot-client.ts
@@ -1,17 +1,17 @@
-/** Where jobs ask for slots. */
+/** Interface through which jobs request slots. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {TicketId} from '../../base/ticket-id.js';
 import type {PlacementRequest} from './placement-request.js';
 import type {SlotListener} from './slot-listener.js';
 
-/** The slots of all zones, each lent by its own arbiter. */
+/** Requests slots of any zone from the arbiter of that zone. */
 export abstract class SlotClient {
-	/** Asks for slots of a zone for tasks of one job; the deadline is monotonic. */
+	/** Requests slots for tasks of one job; the deadline is on the monotonic clock. */
 	abstract requestSlots(zone: AvailabilityZone, want: Extract<PlacementRequest, {kind: 'want'}>, deadlineAt: number, listener: SlotListener): void;
 
-	/** Gives a slot back, or says what became of the task in it. */
+	/** Returns a slot and reports the outcome of its task. */
 	abstract release(ticket: TicketId, outcome: Extract<PlacementRequest, {kind: 'release'}>['outcome'], runMilliseconds: number): void;
 
-	/** Takes wishes back that weren't granted yet; the job must still release what is granted afterwards. */
+	/** Cancels requests that haven't been granted; slots granted concurrently must still be released. */
 	abstract withdraw(tickets: readonly TicketId[]): void;
 }
--- a/src/features/placement/slot-leases.ts
+++ b/src/features/placement/slot-leases.ts
@@ -1,4 +1,4 @@
-/** Lends slots under leases, and takes them back. */
+/** Leases slots and takes them back. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {TicketId} from '../../base/ticket-id.js';
@@ -12,9 +12,9 @@
 import {taskIdOf} from './task-id-of.js';
 import type {QueuedTask} from './queued-task.js';
 
-/** What a target may take beyond a task's limit to stop it, and a grant to reach its requester. */
+/** Allowance for delivering a grant and for stopping a task at its limit. */
 const leaseMarginMilliseconds = 1500;
-/** A slot that was lent this long before has reached its requester, or never will. */
+/** Time after which a grant has either been delivered or been lost. */
 const deliveryMilliseconds = 1500;
 
 type SlotLeasesParts = {
@@ -25,7 +25,7 @@
 	readonly runTimes: RunTimes;
 };
 
-/** Learns from each slot that comes back how its target does and how long its profile's tasks run. */
+/** Also records target health and run times from the outcomes of released slots. */
 export class SlotLeases {
 	constructor(private readonly parts: SlotLeasesParts) {}
 
@@ -55,7 +55,7 @@
 		});
 	}
 
-	/** Takes over a slot that a former arbiter lent. */
+	/** Takes over a slot leased by a previous arbiter. */
 	adopt(requester: MemberId, slot: Pick<LeasedSlot, 'ticket' | 'target' | 'profile'>, endsInMilliseconds: number): void {
 		const now = this.parts.clock.now();
 		this.parts.slotTable.lease({
@@ -77,7 +77,8 @@
 			return;
 		}
 
-		// A connection that broke says nothing of the task: its slot is free when the target says so, or the lease ends.
+		// After a lost connection the task may still run; the slot stays leased until the target reports its end or
+		// the lease expires.
 		if (outcome === 'lost') {
 			slot.isOrphaned = true;
 		} else {
@@ -98,7 +99,7 @@
 		}
 	}
 
-	/** Frees the slots whose leases have ended. */
+	/** Frees the slots of expired leases. */
 	expireLeases(): void {
 		const {clock, journal, slotTable} = this.parts;
 		const now = clock.now();
@@ -110,13 +111,13 @@
 		}
 	}
 
-	/** Frees a slot of whose task nothing was learned. */
+	/** Frees a slot whose task has an unknown outcome. */
 	reclaim(slot: LeasedSlot): void {
 		this.parts.slotTable.free(slot.ticket);
 		this.parts.health.cancelProbe(slot.target);
 	}
 
-	/** Whether news that lag by so much tell of a slot: those sent before its grant arrived don't. */
+	/** Whether information that is `lagMilliseconds` old takes the grant of the slot into account. */
 	isGrantDelivered(slot: LeasedSlot, lagMilliseconds = 0): boolean {
 		return this.parts.clock.now() - slot.grantedAt > deliveryMilliseconds + lagMilliseconds;
 	}
--- a/src/features/placement/slot-recovery.ts
+++ b/src/features/placement/slot-recovery.ts
@@ -1,4 +1,4 @@
-/** Finds out from targets which slots are free that no living entry accounts for. */
+/** Recovers slots whose holder is unknown or gone, from the usage that targets report. */
 import type {InstanceId} from '../../base/instance-id.js';
 import type {Instance} from '../../runtime/instances/instance.js';
 import type {TargetUsage} from '../../runtime/targets/target-usage.js';
@@ -6,11 +6,11 @@
 import type {SlotTable} from './slot-table.js';
 import {taskIdOf} from './task-id-of.js';
 
-/** Slots of former requesters are orphaned, slots that a former arbiter may have lent are in quarantine. */
+/** Orphaned slots belonged to a former requester; quarantined slots may have been leased by a previous arbiter. */
 export class SlotRecovery {
 	constructor(private readonly slotTable: SlotTable, private readonly slotLeases: SlotLeases) {}
 
-	/** Withholds every slot that isn't accounted for, since the former arbiter may have lent it. */
+	/** Quarantines all slots that aren't known to be leased, since the previous arbiter may have leased them. */
 	beginQuarantine(): void {
 		this.slotTable.quarantineUnaccounted();
 	}
@@ -19,20 +19,20 @@
 		return this.slotTable.quarantinedTargets;
 	}
 
-	/** Ends all quarantine: every lease of the former arbiter has ended by now. */
+	/** Ends the quarantine, once all leases of the previous arbiter have expired. */
 	endQuarantine(): void {
 		for (const {id} of this.slotTable.quarantinedTargets) {
 			this.slotTable.setQuarantinedSlots(id, 0);
 		}
 	}
 
-	/** Targets that run tasks of entries that are gone. */
+	/** Targets that may still run tasks of entries that are gone. */
 	get orphanedTargets(): readonly Instance[] {
 		const ids = new Set(this.slotTable.leasedSlots.filter(slot => slot.isOrphaned).map(slot => slot.target));
 		return this.slotTable.targets.filter(target => ids.has(target.id));
 	}
 
-	/** Takes a target's own word on what it runs. */
+	/** Applies the list of running tasks reported by a target. */
 	applyUsage(target: InstanceId, usage: TargetUsage): void {
 		const running = new Set(usage.running);
 		for (const slot of this.slotTable.leasedSlots) {
--- a/src/features/placement/slot-table.ts
+++ b/src/features/placement/slot-table.ts
@@ -1,4 +1,4 @@
-/** Which slots of which targets are lent to whom. */
+/** Slots of the targets of one zone, and their leases. */
 import type {InstanceId} from '../../base/instance-id.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {SubmissionId} from '../../base/submission-id.js';
@@ -9,28 +9,28 @@
 import type {TargetHealth} from './target-health.js';
 import type {QueuedTask} from './queued-task.js';
 
-/** For targets whose row in the instance list gives no number. */
+/** Used for targets without a slot count in the instance list. */
 const defaultSlotCount = 8;
 
 type TargetState = {
 	instance: Instance;
-	/** False once the list shows the target as leaving, or no longer shows it. */
+	/** False if the instance list shows the target as leaving, or no longer contains it. */
 	isOpen: boolean;
-	/** Slots that nobody may use yet, since a former arbiter may have lent them. */
+	/** Slots withheld because a previous arbiter may have leased them. */
 	quarantined: number;
 	readonly held: Map<TicketId, LeasedSlot>;
 	readonly heldBy: Map<MemberId, number>;
 	usedMemoryMegabytes: number;
 	usedAccelerators: number;
-	/** Tasks that an early binding tied to this target. */
+	/** Tasks assigned to this target by early binding. */
 	readonly bound: QueuedTask[];
 };
 
-/** The slots of one zone. A slot is free again only by its release, the end of its lease, or the target's word. */
+/** A leased slot is freed only by its release, the expiry of its lease, or the target's usage report. */
 export class SlotTable {
 	readonly #targets = new Map<InstanceId, TargetState>();
 	readonly #held = new Map<TicketId, LeasedSlot>();
-	/** Running tasks by job and rack. */
+	/** Number of running tasks by job and rack. */
 	readonly #jobRacks = new Map<string, number>();
 
 	constructor(private readonly health: TargetHealth) {}
@@ -43,7 +43,7 @@
 		return [...this.#held.values()];
 	}
 
-	/** Free slots of the targets that take work. */
+	/** Free slots of the targets that accept work. */
 	get freeSlots(): number {
 		let free = 0;
 		for (const state of this.#targets.values()) {
@@ -53,7 +53,7 @@
 		return free;
 	}
 
-	/** Slots of the targets that take work, lent or not. */
+	/** All slots of the targets that accept work. */
 	get totalSlots(): number {
 		let slots = 0;
 		for (const state of this.#targets.values()) {
@@ -108,7 +108,10 @@
 		return slot;
 	}
 
-	/** The requester is gone; its slots stay lent until their leases end, or the target says that the tasks did. */
+	/**
+	 * Marks the slots of a requester that is gone; they stay leased until their leases expire or the target reports
+	 * that the tasks have ended.
+	 */
 	orphan(requester: MemberId): void {
 		for (const slot of this.#held.values()) {
 			slot.isOrphaned ||= slot.requester === requester;
@@ -119,7 +122,7 @@
 		this.#targets.get(target)?.bound.push(ticket);
 	}
 
-	/** The next task that's bound to a target with a free slot. */
+	/** Takes the next task that is bound to a target with a free slot. */
 	takeBound(): {readonly ticket: QueuedTask; readonly instance: Instance} | undefined {
 		for (const state of this.#targets.values()) {
 			while (state.bound[0]?.isRemoved === true) {
@@ -134,14 +137,14 @@
 		return undefined;
 	}
 
-	/** Withholds all slots of all targets that aren't accounted for. */
+	/** Quarantines all slots of all targets that aren't leased. */
 	quarantineUnaccounted(): void {
 		for (const state of this.#targets.values()) {
 			state.quarantined = Math.max(0, slotCountOf(state) - state.held.size);
 		}
 	}
 
-	/** Ends the quarantine of a target, but for so many tasks that it runs and nobody accounts for. */
+	/** Reduces the quarantine of a target to the running tasks that have no known lease. */
 	setQuarantinedSlots(target: InstanceId, unaccounted: number): void {
 		const state = this.#targets.get(target);
 		if (state !== undefined) {
@@ -153,12 +156,12 @@
 		return [...this.#targets.values()].filter(state => state.quarantined > 0).map(state => state.instance);
 	}
 
-	/** True where some open target is large enough and labelled for the task, whatever it runs now. */
+	/** Whether any open target meets the task's requirements, regardless of its load. */
 	isPlaceable(ticket: Pick<QueuedTask, 'task'>): boolean {
 		return [...this.#targets.values()].some(state => state.isOpen && meetsRequirements(state.instance, ticket));
 	}
 
-	/** Targets that suit a task now; with `hasSlot`, only those with a free slot. */
+	/** Targets that can run a task now; with `hasSlot`, only those with a free slot. */
 	candidatesFor(ticket: QueuedTask, hasSlot: boolean, now: number): readonly TargetCandidate[] {
 		const candidates: TargetCandidate[] = [];
 		for (const state of this.#targets.values()) {
@@ -189,7 +192,7 @@
 		};
 	}
 
-	/** Adds a slot to, or takes it from, the running counts. */
+	/** Adds a slot to the running counts, or subtracts it. */
 	#updateCounts(state: TargetState, slot: LeasedSlot, sign: 1 | -1): void {
 		state.usedMemoryMegabytes += sign * slot.memoryMegabytes;
 		state.usedAccelerators += sign * slot.accelerators;
@@ -227,7 +230,7 @@
 		&& task.accelerators <= (instance.accelerators ?? 0);
 }
 
-/** Room beside the tasks that run there already. */
+/** Whether the target's remaining memory and accelerators suffice. */
 function hasCapacity(state: TargetState, {task}: QueuedTask): boolean {
 	return task.memoryMegabytes + state.usedMemoryMegabytes <= (state.instance.memoryMegabytes ?? Number.POSITIVE_INFINITY)
 		&& (task.accelerators === 0 || task.accelerators + state.usedAccelerators <= (state.instance.accelerators ?? 0));
--- a/src/features/placement/target-health.ts
+++ b/src/features/placement/target-health.ts
@@ -1,43 +1,45 @@
-/** Whether a target is fit for work. */
+/** Health of targets. */
 import type {InstanceId} from '../../base/instance-id.js';
 import type {ProfileName} from '../../base/profile-name.js';
 import type {Journal} from '../../runtime/journal/journal.js';
 
-/** Failures in a row after which a target is out; a loss or a refusal weighs as much as a failure. */
+/** Consecutive failures after which a target is ejected; losses and refusals count as failures. */
 const consecutiveFailuresToEject = 3;
 const firstEjectionMilliseconds = 2000;
-/** One probe a second for a slow target, against a task in each free place on it; and it's back within a second. */
+/** Limits a slow target to about one probe per second. */
 const suspensionMilliseconds = 1000;
 const maximumEjectionMilliseconds = 60_000;
 const ejectionBackoffFactor = 2;
-/** No more of a zone's targets are out at once: when many look bad, the cause is most likely elsewhere. */
+/** Maximum share of a zone's targets ejected at once; more failures suggest a cause other than the targets. */
 const maximumEjectedShare = 0.5;
-/** A target is slow when its tasks take so many times what their profiles take elsewhere. */
+/** Ratio of actual to expected run time above which a target is slow. */
 const slowFactor = 2.5;
 const minimumSlowSamples = 8;
 /** Weight of the newest sample in moving averages. */
 const smoothingFactor = 0.2;
-/** A profile whose tasks fail this often on the other targets as well has itself to blame. */
+/** Failure share of a profile on other targets above which failures aren't attributed to the target. */
 const profileFailureThreshold = 0.5;
 
 type Outcome = 'result' | 'failure' | 'refused' | 'lost';
 
-/** The end of a task; the expected time is the profile's mean over the zone. */
+/** Outcome of a task; the expected time is the mean of the profile in the zone. */
 type TaskCompletion = {
 	readonly target: InstanceId;
 	readonly profile: ProfileName;
 	readonly outcome: Outcome;
 	readonly runMilliseconds: number;
 	readonly expectedMilliseconds: number;
-	/** The task's job, where it's known: several failures of one job in a row say no more than one. */
+	/** Id of the job, if known; consecutive failures of one job count once. */
 	readonly job?: string;
-	/** The task has failed or been lost on another target before: this failure says more of the task than of the target. */
+	/**
+	 * Set if the task has failed or been lost on another target, so that its failure isn't attributed to this one.
+	 */
 	readonly hasFailedElsewhere?: boolean;
 };
 
 type TargetState = {
 	failureStreak: number;
-	/** The job of the latest failure of the streak. */
+	/** Job of the latest failure in the streak. */
 	failedJob: string | undefined;
 	ejections: number;
 	ejectedUntil: number;
@@ -45,21 +47,21 @@
 	isProbing: boolean;
 	slowness: number;
 	samples: number;
-	/** Moving failure share of each profile on this target. */
+	/** Moving average of the failure share by profile. */
 	readonly failureShares: Map<ProfileName, {share: number; samples: number}>;
 };
 
 /**
- * Judges the targets of a zone by the outcomes of their tasks. A target that fails everything is fast and always free,
- * so that it would draw all the load; it's taken out after a few failures in a row and comes back over one probe, each
- * time after a longer period.
+ * Tracks the health of a zone's targets by the outcomes of their tasks. A target that fails all tasks immediately
+ * would attract most of the load; it's ejected after consecutive failures and readmitted after a successful probe,
+ * with exponential backoff.
  */
 export class TargetHealth {
 	readonly #states = new Map<InstanceId, TargetState>();
 
 	constructor(private readonly journal: Journal) {}
 
-	/** Keeps the judgement of the listed targets only. */
+	/** Discards the state of all other targets. */
 	retain(targets: ReadonlySet<InstanceId>): void {
 		for (const id of this.#states.keys()) {
 			if (!targets.has(id)) {
@@ -72,12 +74,12 @@
 		}
 	}
 
-	/** A target started again: a fault of before may be gone, and another kind of machine may be there. */
+	/** Resets the state of a target that restarted. */
 	forget(target: InstanceId): void {
 		this.#states.delete(target);
 	}
 
-	/** `probe`: takes one task now and no second one before that has ended. */
+	/** `probe`: the target accepts a single task until that task has ended. */
 	condition(target: InstanceId, now: number): 'fit' | 'slow' | 'probe' | 'out' {
 		const state = this.#stateOf(target);
 		if (state.isOut) {
@@ -87,19 +89,19 @@
 		return state.samples >= minimumSlowSamples && state.slowness > slowFactor ? 'slow' : 'fit';
 	}
 
-	/** A task goes to a target that is out, to find out whether it's back. */
+	/** Marks a probe as running on an ejected target. */
 	beginProbe(target: InstanceId): void {
 		this.#stateOf(target).isProbing = true;
 	}
 
-	/** A probe ended without telling anything. */
+	/** Ends a probe without a result. */
 	cancelProbe(target: InstanceId): void {
 		this.#stateOf(target).isProbing = false;
 	}
 
 	/**
-	 * Takes a target out at once, on evidence that needs no second case, whatever is out already: each task that is sent to
-	 * a target which works slowly or not at all is late. The time is short, since a probe costs but one task.
+	 * Ejects a target immediately, regardless of the limit on ejected targets, since any task sent to it would be
+	 * late. The period is short, as a probe costs only one task.
 	 */
 	suspend(target: InstanceId, cause: 'overdue', now: number): void {
 		const state = this.#stateOf(target);
@@ -119,7 +121,7 @@
 			return;
 		}
 
-		// A failing task says nothing about its target when the same profile fails on the others too.
+		// If the profile fails on other targets as well, the failure isn't attributed to this target.
 		if (outcome === 'failure' && (this.#failsOnOtherTargets(target, profile) || isAttributableToJob(state, end))) {
 			state.isProbing = false;
 			return;
@@ -189,15 +191,14 @@
 }
 
 /**
- * Jobs that can never be done fail at once, several tasks on one target and each of them on several targets. Charged to the
- * targets, three such jobs take a zone's sound targets out for seconds. A target that fails everything is found out all the
- * same, by the first attempts of three jobs.
+ * Tasks that always fail do so on several targets. Counting each of these failures would eject healthy targets; a
+ * faulty target still fails the first attempts of several jobs.
  */
 function isAttributableToJob(state: TargetState, {job, hasFailedElsewhere}: TaskCompletion): boolean {
 	return hasFailedElsewhere === true || (job !== undefined && job === state.failedJob);
 }
 
-/** The first samples weigh more: a profile that fails everywhere is known for it after a task on each target. */
+/** Uses a higher weight for the first samples, so that a profile that fails everywhere is detected early. */
 function recordOutcome(state: TargetState, profile: ProfileName, isGood: boolean): void {
 	const known = state.failureShares.get(profile) ?? {share: 0, samples: 0};
 	state.failureShares.set(profile, known);
--- a/src/features/placement/token-bucket.ts
+++ b/src/features/placement/token-bucket.ts
@@ -1,6 +1,6 @@
-/** A limit on a rate. */
+/** Token bucket rate limiter. */
 
-/** Fills steadily up to a capacity; monotonic milliseconds come from the caller. */
+/** Refills at a constant rate up to its capacity; times are monotonic milliseconds supplied by the caller. */
 export class TokenBucket {
 	#tokens: number;
 	#refilledAt: number;
@@ -10,11 +10,11 @@
 		this.#refilledAt = now;
 	}
 
-	/** Takes so many tokens, or says in how many milliseconds they will be there. */
+	/** Takes tokens, or returns the time in milliseconds until enough are available. */
 	take(count: number, now: number): {readonly kind: 'taken'} | {readonly kind: 'short'; readonly waitMilliseconds: number} {
 		this.#tokens = Math.min(this.capacity, this.#tokens + ((now - this.#refilledAt) * this.perSecond / 1000));
 		this.#refilledAt = now;
-		// More than the bucket holds at once may be taken when it's full, and is paid off afterwards.
+		// A full bucket allows a request that exceeds its capacity; the balance then becomes negative.
 		const needed = Math.min(count, this.capacity);
 		if (this.#tokens < needed) {
 			return {kind: 'short', waitMilliseconds: (needed - this.#tokens) * 1000 / this.perSecond};
--- a/test/features/placement/arbiter-election.test.ts
+++ b/test/features/placement/arbiter-election.test.ts
@@ -1,4 +1,4 @@
-/** One arbiter a zone at a time. */
+/** Tests that a zone has at most one arbiter at a time. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {ArbiterElection} from '../../../src/features/placement/arbiter-election.js';
@@ -11,7 +11,7 @@
 const peer = FakeMembership.memberOf('entry-2');
 const witness = FakeMembership.memberOf('entry-3', 'zone-2');
 
-function tenureOf(others: readonly Member[] = [peer, witness]) {
+function createElection(others: readonly Member[] = [peer, witness]) {
 	const clock = new FakeClock();
 	const membership = new FakeMembership(FakeMembership.memberOf('entry-1'), clock);
 	for (const member of others) {
@@ -19,40 +19,39 @@
 	}
 
 	const sent: Array<{readonly to: Member; readonly message: ElectionMessage}> = [];
-	const tenure = new ArbiterElection(membership, clock, new RecordingJournal(), (to, message) => {
+	const election = new ArbiterElection(membership, clock, new RecordingJournal(), (to, message) => {
 		sent.push({to, message});
 	});
 	const run = (milliseconds: number) => {
 		for (let elapsed = 0; elapsed < milliseconds; elapsed += 100) {
 			clock.advance(100);
-			tenure.tick();
+			election.tick();
 		}
 	};
 
-	const hearHolder = (member: Member, epoch = 1) => {
-		tenure.receive(member, {
+	const announceHolder = (member: Member, epoch = 1) => {
+		election.receive(member, {
 			kind: 'holds', zone: member.zone, holder: member.id, epoch, stamp: 0,
 		});
 	};
 
 	return {
-		clock, membership, tenure, sent, run, hearHolder,
+		clock, membership, election, sent, run, announceHolder,
 	};
 }
 
-test('an entry alone in its zone takes the office', () => {
-	const {tenure, run} = tenureOf([]);
+test('an entry alone in its zone becomes the arbiter', () => {
+	const {election, run} = createElection([]);
 	run(500);
-	assert.deepEqual([tenure.isArbiter, tenure.canGrant()], [true, true]);
+	assert.deepEqual([election.isArbiter, election.canGrant()], [true, true]);
 });
 
-test('a newcomer asks for the holder, whatever its rank, and a holder that asks witnesses still tells its zone', () => {
-	// A fleet of eight was not ready in one of fifteen starts: an entry met its zone's arbiter after the first announcement,
-	// didn't ask since it wasn't first in rank, and each question to a witness put the next announcement off.
-	const {sent, run} = tenureOf([peer]);
+test('a new entry queries the holder regardless of its rank, and a holder that contacts witnesses still announces itself in its zone', () => {
+	// Guards against an entry that never learns of its zone's arbiter, because it missed the first announcement.
+	const {sent, run} = createElection([peer]);
 	run(300);
 	assert.ok(sent.some(({to, message}) => to === peer && message.kind === 'who'));
-	const holder = tenureOf([witness]);
+	const holder = createElection([witness]);
 	holder.run(500);
 	holder.membership.add(peer);
 	holder.membership.silence(peer);
@@ -60,89 +59,88 @@
 	assert.ok(holder.sent.some(({to, message}) => to === peer && message.kind === 'holds'));
 });
 
-test('on proof of the holder\'s end the next one takes over', () => {
-	const {membership, tenure, run, hearHolder} = tenureOf();
-	hearHolder(peer);
+test('the next entry takes over once the holder is known to be dead', () => {
+	const {membership, election, run, announceHolder} = createElection();
+	announceHolder(peer);
 	membership.remove(peer);
-	tenure.memberLost({member: peer, manner: 'dead'});
+	election.memberLost({member: peer, manner: 'dead'});
 	run(200);
-	assert.ok(tenure.canGrant());
+	assert.ok(election.canGrant());
 });
 
-test('a silent holder is replaced only when a witness hears nothing of it either', () => {
-	// The switch between two entries of a zone fails; the holder is alive and goes on lending slots.
-	// A witness in another zone still hears of it: taking over would make two arbiters.
-	const {clock, membership, tenure, sent, run, hearHolder} = tenureOf();
-	hearHolder(peer);
+test('a silent holder is replaced only if a witness confirms the silence', () => {
+	// Guards against two arbiters after the connection between two entries of a zone fails.
+	const {clock, membership, election, sent, run, announceHolder} = createElection();
+	announceHolder(peer);
 	membership.silence(peer);
 	run(3200);
 	assert.ok(sent.some(({to, message}) => to === witness && message.kind === 'alive'));
-	tenure.receive(witness, {kind: 'aliveReply', about: peer.id, heardAgoMilliseconds: 200});
+	election.receive(witness, {kind: 'aliveReply', about: peer.id, heardAgoMilliseconds: 200});
 	run(600);
-	assert.equal(tenure.isArbiter, false);
+	assert.equal(election.isArbiter, false);
 	clock.advance(100);
 	run(200);
-	tenure.receive(witness, {kind: 'aliveReply', about: peer.id, heardAgoMilliseconds: 4000});
+	election.receive(witness, {kind: 'aliveReply', about: peer.id, heardAgoMilliseconds: 4000});
 	run(1500);
-	tenure.receive(witness, {kind: 'aliveReply', about: peer.id, heardAgoMilliseconds: 6000});
+	election.receive(witness, {kind: 'aliveReply', about: peer.id, heardAgoMilliseconds: 6000});
 	run(1000);
-	assert.equal(tenure.isArbiter, true);
+	assert.equal(election.isArbiter, true);
 });
 
-test('without any witness a silent holder isn\'t replaced', () => {
-	const {membership, tenure, run, hearHolder} = tenureOf([peer]);
-	hearHolder(peer);
+test('a silent holder isn\'t replaced without a witness', () => {
+	const {membership, election, run, announceHolder} = createElection([peer]);
+	announceHolder(peer);
 	membership.silence(peer);
 	run(10_000);
-	assert.equal(tenure.isArbiter, false);
+	assert.equal(election.isArbiter, false);
 });
 
-test('a holder that nobody answers stops granting before anyone may take over', () => {
-	const {membership, tenure, run} = tenureOf([peer]);
+test('a holder without answers from peers stops granting before another entry may take over', () => {
+	const {membership, election, run} = createElection([peer]);
 	membership.remove(peer);
 	run(500);
 	membership.add(peer);
 	membership.silence(peer);
-	assert.ok(tenure.canGrant());
+	assert.ok(election.canGrant());
 	run(1700);
-	assert.equal(tenure.canGrant(), false);
+	assert.equal(election.canGrant(), false);
 });
 
-test('a holder goes on when its neighbour is silent but another zone answers', () => {
-	const {clock, membership, tenure, run} = tenureOf();
+test('a holder keeps its role if its zone peer is silent but another zone answers', () => {
+	const {clock, membership, election, run} = createElection();
 	membership.remove(peer);
 	run(500);
 	membership.add(peer);
 	membership.silence(peer);
 	run(1700);
-	tenure.receive(witness, {kind: 'heard', stamp: clock.now()});
-	assert.ok(tenure.canGrant());
+	election.receive(witness, {kind: 'heard', stamp: clock.now()});
+	assert.ok(election.canGrant());
 });
 
-test('a paused holder finds out before it grants again, and gives the office up', () => {
-	// The arbiter is stopped for five seconds; another takes the office and lends the same slots.
-	const {clock, tenure, run} = tenureOf([]);
+test('a paused holder detects the pause before its next grant and resigns', () => {
+	// Guards against double allocation by an arbiter that was replaced while its process was paused.
+	const {clock, election, run} = createElection([]);
 	run(500);
 	clock.sleep(5000);
-	assert.equal(tenure.canGrant(), false);
-	tenure.tick();
-	assert.equal(tenure.isArbiter, false);
+	assert.equal(election.canGrant(), false);
+	election.tick();
+	assert.equal(election.isArbiter, false);
 });
 
-test('of two holders the one with the later epoch stays', () => {
-	const {tenure, run, hearHolder} = tenureOf([]);
+test('of two holders, the one with the higher epoch remains', () => {
+	const {election, run, announceHolder} = createElection([]);
 	run(500);
-	hearHolder(peer, 7);
-	assert.deepEqual([tenure.isArbiter, tenure.holder?.member], [false, peer.id]);
-	hearHolder(FakeMembership.memberOf('entry-4'), 3);
-	assert.equal(tenure.holder?.member, peer.id);
+	announceHolder(peer, 7);
+	assert.deepEqual([election.isArbiter, election.holder?.member], [false, peer.id]);
+	announceHolder(FakeMembership.memberOf('entry-4'), 3);
+	assert.equal(election.holder?.member, peer.id);
 });
 
-test('a holder that leaves hands its slots to a successor and grants no more', () => {
-	const {tenure, sent, run, membership} = tenureOf([]);
+test('a resigning holder hands its leases over to a successor and stops granting', () => {
+	const {election, sent, run, membership} = createElection([]);
 	run(500);
 	membership.add(peer);
-	assert.equal(tenure.resign([]), peer);
+	assert.equal(election.resign([]), peer);
 	assert.ok(sent.some(({message}) => message.kind === 'handover'));
-	assert.equal(tenure.canGrant(), false);
+	assert.equal(election.canGrant(), false);
 });
--- a/test/features/placement/arbiter-fixture.ts
+++ b/test/features/placement/arbiter-fixture.ts
@@ -1,4 +1,4 @@
-/** An arbiter with two targets, and requests to it. */
+/** Test fixture: an arbiter, its targets and a recorder of its replies. */
 import type {AvailabilityZone} from '../../../src/base/availability-zone.js';
 import type {InstanceId} from '../../../src/base/instance-id.js';
 import type {MemberId} from '../../../src/base/member-id.js';
@@ -18,10 +18,10 @@
 type Want = Extract<PlacementRequest, {kind: 'want'}>;
 type Sent = {readonly to: MemberId; readonly reply: PlacementReply};
 
-/** The requester of most tests. */
+/** Default requester. */
 export const entry = 'entry-1#1' as MemberId;
 
-/** Slots are few, so that tests see them run out. */
+/** By default, two targets with two slots each, so that tests can exhaust the slots. */
 export class ArbiterFixture {
 	readonly clock = new FakeClock();
 	readonly journal = new RecordingJournal();
@@ -32,7 +32,7 @@
 	constructor(readonly targets: readonly Instance[] = [targetOf('target-1'), targetOf('target-2')]) {
 		this.arbiter = new Arbiter({
 			zone: 'zone-1' as AvailabilityZone,
-			placement: placementPolicies.get('late-binding')!,
+			policy: placementPolicies.get('late-binding')!,
 			clock: this.clock,
 			random: new Random(1),
 			journal: this.journal,
@@ -44,7 +44,7 @@
 		this.arbiter.setTargets(targets);
 	}
 
-	/** Targets by the tickets that were granted, in order. */
+	/** Granted tickets with their targets, in order. */
 	get granted(): ReadonlyArray<readonly [string, string]> {
 		return this.sent.flatMap(({reply}) => reply.kind === 'granted' ? reply.grants.map(grant => [grant.ticket, grant.target.id] as const) : []);
 	}
@@ -75,7 +75,7 @@
 	};
 }
 
-/** A wish for slots for some tasks of a job. */
+/** A request for slots for the given number of tasks of a job. */
 export function wantOf(job: string, tasks: number, keys: Partial<Want> = {}): Want {
 	return {
 		kind: 'want',
--- a/test/features/placement/target-health.test.ts
+++ b/test/features/placement/target-health.test.ts
@@ -1,4 +1,4 @@
-/** Bad targets are found, and come back. */
+/** Tests the ejection and readmission of unhealthy targets. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {InstanceId} from '../../../src/base/instance-id.js';
@@ -8,7 +8,7 @@
 
 const ids = ['target-1', 'target-2', 'target-3', 'target-4'] as InstanceId[];
 
-function healthOf() {
+function createHealth() {
 	const journal = new RecordingJournal();
 	const health = new TargetHealth(journal);
 	health.retain(new Set(ids));
@@ -23,9 +23,9 @@
 	return {health, journal, report};
 }
 
-test('a target that fails every task is out after three, and back over one probe', () => {
-	// A worker whose disk is full fails every task in a millisecond; always free, it would draw all the load.
-	const {health, report} = healthOf();
+test('a target that fails every task is ejected after three failures and readmitted after one probe', () => {
+	// Guards against a target that fails all tasks immediately and therefore attracts most of the load.
+	const {health, report} = createHealth();
 	report(ids[1]!, 'result', 5);
 	report(ids[0]!, 'failure', 3);
 	assert.equal(health.condition(ids[0]!, 100), 'out');
@@ -36,24 +36,24 @@
 	assert.equal(health.condition(ids[0]!, 2100), 'fit');
 });
 
-test('a failed probe doubles the time outside', () => {
-	const {health, report} = healthOf();
+test('a failed probe doubles the ejection period', () => {
+	const {health, report} = createHealth();
 	report(ids[0]!, 'lost', 3);
 	health.beginProbe(ids[0]!);
 	report(ids[0]!, 'lost', 1, {now: 2000});
 	assert.deepEqual([health.condition(ids[0]!, 5900), health.condition(ids[0]!, 6000)], ['out', 'probe']);
 });
 
-test('a probe that ended without telling anything can be made again', () => {
-	const {health, report} = healthOf();
+test('a probe without a result can be repeated', () => {
+	const {health, report} = createHealth();
 	report(ids[0]!, 'lost', 3);
 	health.beginProbe(ids[0]!);
 	health.cancelProbe(ids[0]!);
 	assert.equal(health.condition(ids[0]!, 2000), 'probe');
 });
 
-test('no more than half of a zone is out', () => {
-	const {health, journal, report} = healthOf();
+test('at most half of the targets of a zone are ejected', () => {
+	const {health, journal, report} = createHealth();
 	for (const id of ids) {
 		report(id, 'lost', 3);
 	}
@@ -62,9 +62,9 @@
 	assert.equal(journal.named('ejectionCapped').length, 2);
 });
 
-test('a profile whose tasks fail everywhere doesn\'t cost a target its place', () => {
-	// A release of the callers sends requests that every target rejects.
-	const {health, report} = healthOf();
+test('a profile whose tasks fail everywhere doesn\'t eject targets', () => {
+	// Guards against ejecting targets because of invalid requests.
+	const {health, report} = createHealth();
 	for (let round = 0; round < 10; round++) {
 		for (const id of ids) {
 			report(id, 'failure');
@@ -74,16 +74,15 @@
 	assert.ok(ids.filter(id => health.condition(id, 100) === 'out').length <= 1);
 });
 
-test('a straggler is slow, not out', () => {
-	const {health, report} = healthOf();
+test('a slow target isn\'t ejected', () => {
+	const {health, report} = createHealth();
 	report(ids[0]!, 'result', 20, {runMilliseconds: 500});
 	assert.equal(health.condition(ids[0]!, 100), 'slow');
 });
 
-// Jobs that can never be done fail on sound targets, each of them many times in a row; a target that fails everything fails the
-// first attempts of many jobs.
-test('failures of one job, and of tasks that failed elsewhere, take no target out; those of three jobs do', () => {
-	const {health} = healthOf();
+// Guards against ejecting healthy targets because of jobs that fail everywhere.
+test('a target is ejected for failures of three jobs, but not of one job or of tasks that failed elsewhere', () => {
+	const {health} = createHealth();
 	const profile = 'flight-desk' as ProfileName;
 	const fail = (job: string, hasFailedElsewhere: boolean) => {
 		health.report({
