--- a/src/features/placement/arbiter-session.ts
+++ b/src/features/placement/arbiter-session.ts
@@ -1,4 +1,4 @@
-/** What an entry has open with the arbiter of one zone, and when it tells the arbiter so. */
+/** Requests and slots of this entry at the arbiter of one zone. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
@@ -9,27 +9,27 @@
 import type {PlacementRequest} from './placement-request.js';
 import type {PendingSlotRequest} from './pending-slot-request.js';
 
-/** Every request shows that this entry is awake; without one for so long, a renewal does. */
-const renewMilliseconds = 250;
-/** Counts are compared this often in any case. */
-const compareMilliseconds = 2000;
+/** Maximum time between messages to the arbiter, which considers an entry without messages silent. */
+const renewalPeriodMilliseconds = 250;
+/** Maximum time between renewals, by which the arbiter compares its counts with this entry's. */
+const comparisonPeriodMilliseconds = 2000;
 
-type Held = {readonly target: TargetAddress; readonly profile: PendingSlotRequest['want']['profile']; readonly endsAt: number};
+type HeldSlot = {readonly target: TargetAddress; readonly profile: PendingSlotRequest['request']['profile']; readonly endsAt: number};
 
-/** Tells a new arbiter of all that is open, and searches for one where none is known. */
+/** Renews the requests and slots, resends them to a new arbiter, and searches for an arbiter if none is known. */
 export class ArbiterSession {
-	readonly wishes = new Map<TicketId, PendingSlotRequest>();
-	readonly held = new Map<TicketId, Held>();
+	readonly pendingRequests = new Map<TicketId, PendingSlotRequest>();
+	readonly heldSlots = new Map<TicketId, HeldSlot>();
 	#arbiter: MemberId | undefined;
-	/** When the arbiter was sent something last, and when a renewal. */
-	#askedAt = Number.NEGATIVE_INFINITY;
+	/** Send times of the latest request and the latest renewal. */
+	#requestedAt = Number.NEGATIVE_INFINITY;
 	#renewedAt = Number.NEGATIVE_INFINITY;
 
 	constructor(
 		readonly zone: AvailabilityZone,
 		private readonly membership: Membership,
 		private readonly clock: Clock,
-		private readonly post: ArbiterTransport,
+		private readonly transport: ArbiterTransport,
 	) {}
 
 	get arbiter(): MemberId | undefined {
@@ -37,22 +37,25 @@
 	}
 
 	get #isIdle(): boolean {
-		return this.wishes.size + this.held.size === 0;
+		return this.pendingRequests.size + this.heldSlots.size === 0;
 	}
 
-	/** Asks the arbiter, or for it; a new one learns of the request with all that is open. */
-	ask(request: PlacementRequest): void {
+	/**
+	 * Sends a request, or searches for an arbiter if none is known; a new arbiter learns of the request from the
+	 * inventory.
+	 */
+	sendOrSearch(request: PlacementRequest): void {
 		if (this.#arbiter === undefined) {
-			this.#search();
+			this.#searchArbiter();
 		} else {
-			this.#request(this.#arbiter, request);
+			this.#sendRequest(this.#arbiter, request);
 		}
 	}
 
-	/** Tells the arbiter, if there is one, what a new one needn't know. */
-	tell(request: PlacementRequest): void {
+	/** Sends a request that is irrelevant to a new arbiter; dropped if no arbiter is known. */
+	sendIfKnown(request: PlacementRequest): void {
 		if (this.#arbiter !== undefined) {
-			this.#request(this.#arbiter, request);
+			this.#sendRequest(this.#arbiter, request);
 		}
 	}
 
@@ -62,12 +65,12 @@
 		}
 
 		if (this.#arbiter === undefined) {
-			this.#search();
+			this.#searchArbiter();
 			return;
 		}
 
 		const now = this.clock.now();
-		if (now - this.#askedAt >= renewMilliseconds || now - this.#renewedAt >= compareMilliseconds) {
+		if (now - this.#requestedAt >= renewalPeriodMilliseconds || now - this.#renewedAt >= comparisonPeriodMilliseconds) {
 			this.#renew(this.#arbiter);
 		}
 	}
@@ -84,7 +87,7 @@
 		}
 	}
 
-	/** The arbiter is told anew what is open: requests, or its replies, may have been lost with the connection. */
+	/** Resends the inventory, since requests or replies may have been lost with the connection. */
 	memberReconnected(member: MemberId): void {
 		if (this.#arbiter === member && !this.#isIdle) {
 			this.sendInventory(member);
@@ -97,37 +100,37 @@
 		}
 	}
 
-	/** A member isn't the arbiter any more. */
-	resigned(member: MemberId): void {
+	/** Handles the reply that a member is no longer the arbiter. */
+	arbiterResigned(member: MemberId): void {
 		if (this.#arbiter === member) {
 			this.#arbiter = undefined;
-			this.#search();
+			this.#searchArbiter();
 		}
 	}
 
 	sendInventory(to: MemberId): void {
 		const now = this.clock.now();
-		const held = [...this.held].map(([ticket, {target, profile, endsAt}]) => ({
+		const held = [...this.heldSlots].map(([ticket, {target, profile, endsAt}]) => ({
 			ticket, target: target.id, profile, endsInMilliseconds: endsAt - now,
 		}));
-		this.post.request(to, {kind: 'inventory', held, waiting: [...this.wishes.keys()]});
+		this.transport.sendRequest(to, {kind: 'inventory', held, waiting: [...this.pendingRequests.keys()]});
 	}
 
-	#search(): void {
+	#searchArbiter(): void {
 		for (const member of this.membership.membersInZone(this.zone)) {
 			if (member.id !== this.membership.self.id) {
-				this.post.queryArbiter(member, this.zone);
+				this.transport.queryArbiter(member, this.zone);
 			}
 		}
 	}
 
 	#renew(arbiter: MemberId): void {
 		this.#renewedAt = this.clock.now();
-		this.#request(arbiter, {kind: 'renew', held: this.held.size, waiting: this.wishes.size});
+		this.#sendRequest(arbiter, {kind: 'renew', held: this.heldSlots.size, waiting: this.pendingRequests.size});
 	}
 
-	#request(arbiter: MemberId, request: PlacementRequest): void {
-		this.#askedAt = this.clock.now();
-		this.post.request(arbiter, request);
+	#sendRequest(arbiter: MemberId, request: PlacementRequest): void {
+		this.#requestedAt = this.clock.now();
+		this.transport.sendRequest(arbiter, request);
 	}
 }
--- a/src/features/placement/placement-service.ts
+++ b/src/features/placement/placement-service.ts
@@ -1,4 +1,4 @@
-/** This entry's part in the placement: its desk, its zone's office, and the arbiter while it holds that. */
+/** Runs the slot client, the arbiter election and, while elected, the arbiter of this entry. */
 import * as z from 'zod';
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
@@ -27,20 +27,20 @@
 import {electionMessageSchema} from './election-message-schema.js';
 
 const channel = 'placement';
-/** How often targets are asked what they run while some of their slots aren't accounted for. */
-const usagePeriodMilliseconds = 250;
-/** A target's word counts once what a dead entry had sent last has certainly arrived. */
+/** Interval between usage queries to targets with quarantined or orphaned slots. */
+const usageQueryPeriodMilliseconds = 250;
+/** Delay before the first usage query, so that the last requests of a dead entry have reached the targets. */
 const settlingMilliseconds = 300;
 
 const messageSchema = z.discriminatedUnion('to', [
-	/** The stamp is the time on the sender's own clock, which grants bring back. */
+	/** `stamp` is the sender's clock, which grants echo. */
 	z.object({to: z.literal('arbiter'), stamp: z.number(), request: placementRequestSchema}),
 	z.object({to: z.literal('desk'), reply: placementReplySchema}),
 	z.object({to: z.literal('tenure'), message: electionMessageSchema}),
 ]);
 
 type PlacementServiceParts = {
-	readonly placement: PlacementPolicy;
+	readonly policy: PlacementPolicy;
 	readonly quarantineMilliseconds: number;
 	readonly network: PeerNetwork;
 	readonly membership: Membership;
@@ -51,13 +51,13 @@
 	readonly journal: Journal;
 };
 
-/** Owns the three parts and carries messages between them and the network. */
+/** Routes messages between its components and the network. */
 export class PlacementService implements Disposable {
 	readonly #store = new DisposableStore();
 	readonly #election: ArbiterElection;
 	readonly #slotClient: NetworkSlotClient;
 	#arbiter: Arbiter | undefined;
-	#gainedAt = 0;
+	#becameArbiterAt = 0;
 
 	constructor(private readonly parts: PlacementServiceParts) {
 		const {network, membership, clock, journal} = parts;
@@ -65,7 +65,7 @@
 			network.send(to, {channel, body: {to: 'tenure', message}});
 		}));
 		this.#slotClient = new NetworkSlotClient(membership, clock, journal, {
-			request: (to, request) => {
+			sendRequest: (to, request) => {
 				this.#sendRequest(to, request);
 			},
 			queryArbiter(of, zone) {
@@ -93,21 +93,21 @@
 				this.#receive(from, message.body);
 			}
 		}));
-		this.#store.add(this.#election.onDidChange(holder => {
+		this.#store.add(this.#election.onDidChangeHolder(holder => {
 			this.#slotClient.setArbiter(this.parts.membership.self.zone, holder);
 		}));
-		this.#store.add(this.#election.onDidGain(succession => {
-			this.#gain(succession);
+		this.#store.add(this.#election.onDidBecomeArbiter(transfer => {
+			this.#becomeArbiter(transfer);
 		}));
-		this.#store.add(this.#election.onDidLose(() => {
+		this.#store.add(this.#election.onDidLoseRole(() => {
 			this.#arbiter = undefined;
 		}));
 		this.#store.add(this.parts.membership.onDidLose(loss => {
 			this.#election.memberLost(loss);
 			this.#slotClient.memberLost(loss);
-			this.#arbiter?.forget(loss.member.id);
+			this.#arbiter?.removeRequester(loss.member.id);
 		}));
-		// What was under way on the lost connection is told again, on both sides.
+		// Requests and replies may have been lost with the connection, so both sides compare their state.
 		this.#store.add(this.parts.network.onDidReconnect(member => {
 			this.#slotClient.memberReconnected(member.id);
 			this.#arbiter?.requesterReconnected(member.id);
@@ -122,15 +122,18 @@
 		this.#store.add(repeat(clock, NetworkSlotClient.tickMilliseconds, () => {
 			this.#slotClient.tick();
 		}));
-		this.#store.add(repeat(clock, usagePeriodMilliseconds, () => {
-			this.#askTargets();
+		this.#store.add(repeat(clock, usageQueryPeriodMilliseconds, () => {
+			this.#queryTargets();
 		}));
 	}
 
-	/** Hands the office over if this entry holds it; it stays a requester until its work has ended. */
+	/**
+	 * Hands over the arbiter role if this entry has it. The entry continues to request slots until its jobs have
+	 * ended.
+	 */
 	resign(): void {
 		const now = this.parts.clock.now();
-		const held = this.#arbiter?.lentSlots.map(({requester, ticket, target, profile, leaseEndsAt}) => ({
+		const held = this.#arbiter?.leasedSlots.map(({requester, ticket, target, profile, leaseEndsAt}) => ({
 			requester, ticket, target, profile, endsInMilliseconds: leaseEndsAt - now,
 		}));
 		const successor = this.#election.resign(held ?? []);
@@ -158,7 +161,7 @@
 		}
 	}
 
-	/** An announcement of another zone's arbiter answers a question of the desk. */
+	/** An announcement from another zone answers a query of the slot client. */
 	#receiveTenure(from: Member, message: ElectionMessage): void {
 		if (message.kind === 'holds' && message.zone !== this.parts.membership.self.zone) {
 			this.#slotClient.setArbiter(message.zone, {member: message.holder, epoch: message.epoch});
@@ -205,31 +208,31 @@
 		}
 	}
 
-	#gain(succession: RoleTransfer): void {
+	#becomeArbiter(transfer: RoleTransfer): void {
 		const {zone} = this.parts.membership.self;
 		const arbiter = new Arbiter({
 			...this.parts,
 			zone,
-			outbox: (to, reply) => {
+			sendReply: (to, reply) => {
 				this.#sendReply(to, reply);
 			},
-			mayGrant: () => this.#election.canGrant(),
+			canGrant: () => this.#election.canGrant(),
 		});
 		this.#arbiter = arbiter;
-		this.#gainedAt = this.parts.clock.now();
+		this.#becameArbiterAt = this.parts.clock.now();
 		const instances: readonly Instance[] = this.parts.list.last?.instances ?? [];
 		arbiter.setTargets(instances);
-		if (succession.kind === 'handover') {
-			arbiter.adoptAll(succession.held);
+		if (transfer.kind === 'handover') {
+			arbiter.adoptSlots(transfer.held);
 			return;
 		}
 
 		arbiter.beginQuarantine();
 	}
 
-	#askTargets(): void {
+	#queryTargets(): void {
 		const arbiter = this.#arbiter;
-		const age = this.parts.clock.now() - this.#gainedAt;
+		const age = this.parts.clock.now() - this.#becameArbiterAt;
 		if (arbiter === undefined || age < settlingMilliseconds) {
 			return;
 		}
@@ -238,16 +241,16 @@
 			arbiter.endQuarantine();
 		}
 
-		const doubtful = new Map([...arbiter.quarantinedTargets, ...arbiter.orphanedTargets].map(target => [target.id, target]));
-		for (const target of doubtful.values()) {
-			void this.#askTarget(arbiter, target);
+		const unresolvedTargets = new Map([...arbiter.quarantinedTargets, ...arbiter.orphanedTargets].map(target => [target.id, target]));
+		for (const target of unresolvedTargets.values()) {
+			void this.#queryTarget(arbiter, target);
 		}
 	}
 
-	async #askTarget(arbiter: Arbiter, target: Instance): Promise<void> {
+	async #queryTarget(arbiter: Arbiter, target: Instance): Promise<void> {
 		const usage = await this.parts.driver.usage(target);
 		if (usage !== undefined && arbiter === this.#arbiter) {
-			arbiter.takeUsage(target.id, usage);
+			arbiter.applyUsage(target.id, usage);
 		}
 	}
 }
--- a/src/features/placement/slot-leases.ts
+++ b/src/features/placement/slot-leases.ts
@@ -1,4 +1,4 @@
-/** Lends slots under leases, and takes them back. */
+/** Leases slots and takes them back. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {TicketId} from '../../base/ticket-id.js';
@@ -12,28 +12,28 @@
 import {taskIdOf} from './task-id-of.js';
 import type {QueuedTask} from './queued-task.js';
 
-/** What a target may take beyond a task's limit to stop it, and a grant to reach its requester. */
+/** Allowance for delivering a grant and for stopping a task at its limit. */
 const leaseMarginMilliseconds = 1500;
-/** A slot that was lent this long before has reached its requester, or never will. */
-const arrivalMilliseconds = 1500;
+/** Time after which a grant has either been delivered or been lost. */
+const deliveryMilliseconds = 1500;
 
 type SlotLeasesParts = {
 	readonly clock: Clock;
 	readonly journal: Journal;
-	readonly ledger: SlotTable;
+	readonly slotTable: SlotTable;
 	readonly health: TargetHealth;
 	readonly runTimes: RunTimes;
 };
 
-/** Learns from each slot that comes back how its target does and how long its profile's tasks run. */
+/** Also records target health and run times from the outcomes of released slots. */
 export class SlotLeases {
 	constructor(private readonly parts: SlotLeasesParts) {}
 
-	lend(ticket: QueuedTask, instance: Instance): void {
-		const {clock, journal, ledger, health} = this.parts;
+	grant(ticket: QueuedTask, instance: Instance): void {
+		const {clock, journal, slotTable, health} = this.parts;
 		const now = clock.now();
 		const {request, task, requester} = ticket;
-		ledger.lend({
+		slotTable.lease({
 			requester,
 			ticket: task.ticket,
 			target: instance.id,
@@ -55,10 +55,10 @@
 		});
 	}
 
-	/** Takes over a slot that a former arbiter lent. */
+	/** Takes over a slot leased by a previous arbiter. */
 	adopt(requester: MemberId, slot: Pick<LeasedSlot, 'ticket' | 'target' | 'profile'>, endsInMilliseconds: number): void {
 		const now = this.parts.clock.now();
-		this.parts.ledger.lend({
+		this.parts.slotTable.lease({
 			...slot,
 			requester,
 			job: taskIdOf(slot.ticket).split('/')[0] as LeasedSlot['job'],
@@ -71,17 +71,18 @@
 	}
 
 	release(from: MemberId, {ticket, outcome, runMilliseconds}: Extract<PlacementRequest, {kind: 'release'}>): void {
-		const {clock, ledger, health, runTimes} = this.parts;
-		const slot = ledger.slotOf(ticket);
+		const {clock, slotTable, health, runTimes} = this.parts;
+		const slot = slotTable.slotOf(ticket);
 		if (slot?.requester !== from || slot.isOrphaned) {
 			return;
 		}
 
-		// A connection that broke says nothing of the task: its slot is free when the target says so, or the lease ends.
+		// After a lost connection the task may still run; the slot stays leased until the target reports its end or
+		// the lease expires.
 		if (outcome === 'lost') {
 			slot.isOrphaned = true;
 		} else {
-			ledger.free(ticket);
+			slotTable.free(ticket);
 		}
 
 		if (outcome === 'unused') {
@@ -98,11 +99,11 @@
 		}
 	}
 
-	/** Frees the slots whose leases have ended. */
-	endLeases(): void {
-		const {clock, journal, ledger} = this.parts;
+	/** Frees the slots of expired leases. */
+	expireLeases(): void {
+		const {clock, journal, slotTable} = this.parts;
 		const now = clock.now();
-		for (const slot of ledger.held) {
+		for (const slot of slotTable.leasedSlots) {
 			if (now > slot.leaseEndsAt) {
 				journal.record('leaseEnded', {ticket: slot.ticket, target: slot.target, requester: slot.requester});
 				this.reclaim(slot);
@@ -110,14 +111,14 @@
 		}
 	}
 
-	/** Frees a slot of whose task nothing was learned. */
+	/** Frees a slot whose task has an unknown outcome. */
 	reclaim(slot: LeasedSlot): void {
-		this.parts.ledger.free(slot.ticket);
+		this.parts.slotTable.free(slot.ticket);
 		this.parts.health.cancelProbe(slot.target);
 	}
 
-	/** Whether news that lag by so much tell of a slot: those sent before its grant arrived don't. */
-	hasArrived(slot: LeasedSlot, lagMilliseconds = 0): boolean {
-		return this.parts.clock.now() - slot.grantedAt > arrivalMilliseconds + lagMilliseconds;
+	/** Whether information that is `lagMilliseconds` old takes the grant of the slot into account. */
+	isGrantDelivered(slot: LeasedSlot, lagMilliseconds = 0): boolean {
+		return this.parts.clock.now() - slot.grantedAt > deliveryMilliseconds + lagMilliseconds;
 	}
 }
--- a/src/features/placement/slot-table.ts
+++ b/src/features/placement/slot-table.ts
@@ -1,4 +1,4 @@
-/** Which slots of which targets are lent to whom. */
+/** Slots of the targets of one zone, and their leases. */
 import type {InstanceId} from '../../base/instance-id.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {SubmissionId} from '../../base/submission-id.js';
@@ -9,28 +9,28 @@
 import type {TargetHealth} from './target-health.js';
 import type {QueuedTask} from './queued-task.js';
 
-/** For targets whose row in the instance list gives no number. */
-const defaultSlots = 8;
+/** Used for targets without a slot count in the instance list. */
+const defaultSlotCount = 8;
 
 type TargetState = {
 	instance: Instance;
-	/** False once the list shows the target as leaving, or no longer shows it. */
+	/** False if the instance list shows the target as leaving, or no longer contains it. */
 	isOpen: boolean;
-	/** Slots that nobody may use yet, since a former arbiter may have lent them. */
+	/** Slots withheld because a previous arbiter may have leased them. */
 	quarantined: number;
 	readonly held: Map<TicketId, LeasedSlot>;
 	readonly heldBy: Map<MemberId, number>;
 	usedMemoryMegabytes: number;
 	usedAccelerators: number;
-	/** Tasks that an early binding tied to this target. */
+	/** Tasks assigned to this target by early binding. */
 	readonly bound: QueuedTask[];
 };
 
-/** The slots of one zone. A slot is free again only by its release, the end of its lease, or the target's word. */
+/** A leased slot is freed only by its release, the expiry of its lease, or the target's usage report. */
 export class SlotTable {
 	readonly #targets = new Map<InstanceId, TargetState>();
 	readonly #held = new Map<TicketId, LeasedSlot>();
-	/** Running tasks by job and rack. */
+	/** Number of running tasks by job and rack. */
 	readonly #jobRacks = new Map<string, number>();
 
 	constructor(private readonly health: TargetHealth) {}
@@ -39,25 +39,25 @@
 		return [...this.#targets.values()].filter(state => state.isOpen).map(state => state.instance);
 	}
 
-	get held(): readonly LeasedSlot[] {
+	get leasedSlots(): readonly LeasedSlot[] {
 		return [...this.#held.values()];
 	}
 
-	/** Free slots of the targets that take work. */
+	/** Free slots of the targets that accept work. */
 	get freeSlots(): number {
 		let free = 0;
 		for (const state of this.#targets.values()) {
-			free += state.isOpen ? Math.max(0, freeOf(state)) : 0;
+			free += state.isOpen ? Math.max(0, freeSlotsOf(state)) : 0;
 		}
 
 		return free;
 	}
 
-	/** Slots of the targets that take work, lent or not. */
-	get openSlots(): number {
+	/** All slots of the targets that accept work. */
+	get totalSlots(): number {
 		let slots = 0;
 		for (const state of this.#targets.values()) {
-			slots += state.isOpen ? slotsOf(state) : 0;
+			slots += state.isOpen ? slotCountOf(state) : 0;
 		}
 
 		return slots;
@@ -83,13 +83,13 @@
 		return this.#held.get(ticket);
 	}
 
-	lend(slot: LeasedSlot): void {
+	lease(slot: LeasedSlot): void {
 		this.free(slot.ticket);
 		this.#held.set(slot.ticket, slot);
 		const state = this.#targets.get(slot.target);
 		if (state !== undefined) {
 			state.held.set(slot.ticket, slot);
-			this.#account(state, slot, 1);
+			this.#updateCounts(state, slot, 1);
 		}
 	}
 
@@ -102,13 +102,16 @@
 		this.#held.delete(ticket);
 		const state = this.#targets.get(slot.target);
 		if (state?.held.delete(ticket)) {
-			this.#account(state, slot, -1);
+			this.#updateCounts(state, slot, -1);
 		}
 
 		return slot;
 	}
 
-	/** The requester is gone; its slots stay lent until their leases end, or the target says that the tasks did. */
+	/**
+	 * Marks the slots of a requester that is gone; they stay leased until their leases expire or the target reports
+	 * that the tasks have ended.
+	 */
 	orphan(requester: MemberId): void {
 		for (const slot of this.#held.values()) {
 			slot.isOrphaned ||= slot.requester === requester;
@@ -119,14 +122,14 @@
 		this.#targets.get(target)?.bound.push(ticket);
 	}
 
-	/** The next task that's bound to a target with a free slot. */
+	/** Takes the next task that is bound to a target with a free slot. */
 	takeBound(): {readonly ticket: QueuedTask; readonly instance: Instance} | undefined {
 		for (const state of this.#targets.values()) {
-			while (state.bound[0]?.isGone === true) {
+			while (state.bound[0]?.isRemoved === true) {
 				state.bound.shift();
 			}
 
-			if (state.bound.length > 0 && freeOf(state) > 0) {
+			if (state.bound.length > 0 && freeSlotsOf(state) > 0) {
 				return {ticket: state.bound.shift()!, instance: state.instance};
 			}
 		}
@@ -134,15 +137,15 @@
 		return undefined;
 	}
 
-	/** Withholds all slots of all targets that aren't accounted for. */
+	/** Quarantines all slots of all targets that aren't leased. */
 	quarantineUnaccounted(): void {
 		for (const state of this.#targets.values()) {
-			state.quarantined = Math.max(0, slotsOf(state) - state.held.size);
+			state.quarantined = Math.max(0, slotCountOf(state) - state.held.size);
 		}
 	}
 
-	/** Ends the quarantine of a target, but for so many tasks that it runs and nobody accounts for. */
-	setQuarantine(target: InstanceId, unaccounted: number): void {
+	/** Reduces the quarantine of a target to the running tasks that have no known lease. */
+	setQuarantinedSlots(target: InstanceId, unaccounted: number): void {
 		const state = this.#targets.get(target);
 		if (state !== undefined) {
 			state.quarantined = unaccounted;
@@ -153,16 +156,16 @@
 		return [...this.#targets.values()].filter(state => state.quarantined > 0).map(state => state.instance);
 	}
 
-	/** True where some open target is large enough and labelled for the task, whatever it runs now. */
+	/** Whether any open target meets the task's requirements, regardless of its load. */
 	isPlaceable(ticket: Pick<QueuedTask, 'task'>): boolean {
-		return [...this.#targets.values()].some(state => state.isOpen && suits(state.instance, ticket));
+		return [...this.#targets.values()].some(state => state.isOpen && meetsRequirements(state.instance, ticket));
 	}
 
-	/** Targets that suit a task now; with `hasSlot`, only those with a free slot. */
+	/** Targets that can run a task now; with `hasSlot`, only those with a free slot. */
 	candidatesFor(ticket: QueuedTask, hasSlot: boolean, now: number): readonly TargetCandidate[] {
 		const candidates: TargetCandidate[] = [];
 		for (const state of this.#targets.values()) {
-			if (!state.isOpen || (hasSlot && freeOf(state) <= 0) || !suits(state.instance, ticket) || !hasRoom(state, ticket)) {
+			if (!state.isOpen || (hasSlot && freeSlotsOf(state) <= 0) || !meetsRequirements(state.instance, ticket) || !hasCapacity(state, ticket)) {
 				continue;
 			}
 
@@ -176,21 +179,21 @@
 	}
 
 	#candidate(state: TargetState, ticket: QueuedTask, condition: TargetCandidate['condition']): TargetCandidate {
-		const bound = state.bound.filter(waiting => !waiting.isGone);
+		const bound = state.bound.filter(waiting => !waiting.isRemoved);
 		const boundByRequester = bound.filter(waiting => waiting.requester === ticket.requester).length;
 		return {
 			instance: state.instance,
-			free: freeOf(state),
-			slots: slotsOf(state),
+			freeSlots: freeSlotsOf(state),
+			slots: slotCountOf(state),
 			heldByRequester: (state.heldBy.get(ticket.requester) ?? 0) + boundByRequester,
-			bound: bound.length,
+			boundTasks: bound.length,
 			jobTasksInRack: this.#jobRacks.get(jobRackKey(ticket.request.job, state.instance)) ?? 0,
 			condition,
 		};
 	}
 
-	/** Adds a slot to, or takes it from, the running counts. */
-	#account(state: TargetState, slot: LeasedSlot, sign: 1 | -1): void {
+	/** Adds a slot to the running counts, or subtracts it. */
+	#updateCounts(state: TargetState, slot: LeasedSlot, sign: 1 | -1): void {
 		state.usedMemoryMegabytes += sign * slot.memoryMegabytes;
 		state.usedAccelerators += sign * slot.accelerators;
 		addTo(state.heldBy, slot.requester, sign);
@@ -210,15 +213,15 @@
 	}
 }
 
-function slotsOf(state: TargetState): number {
-	return state.instance.slots ?? defaultSlots;
+function slotCountOf(state: TargetState): number {
+	return state.instance.slots ?? defaultSlotCount;
 }
 
-function freeOf(state: TargetState): number {
-	return slotsOf(state) - state.held.size - state.quarantined;
+function freeSlotsOf(state: TargetState): number {
+	return slotCountOf(state) - state.held.size - state.quarantined;
 }
 
-function suits(instance: Instance, {task}: Pick<QueuedTask, 'task'>): boolean {
+function meetsRequirements(instance: Instance, {task}: Pick<QueuedTask, 'task'>): boolean {
 	const labels = instance.labels ?? [];
 	return task.labels.every(label => labels.includes(label))
 		&& !task.avoided.some(label => labels.includes(label))
@@ -227,8 +230,8 @@
 		&& task.accelerators <= (instance.accelerators ?? 0);
 }
 
-/** Room beside the tasks that run there already. */
-function hasRoom(state: TargetState, {task}: QueuedTask): boolean {
+/** Whether the target's remaining memory and accelerators suffice. */
+function hasCapacity(state: TargetState, {task}: QueuedTask): boolean {
 	return task.memoryMegabytes + state.usedMemoryMegabytes <= (state.instance.memoryMegabytes ?? Number.POSITIVE_INFINITY)
 		&& (task.accelerators === 0 || task.accelerators + state.usedAccelerators <= (state.instance.accelerators ?? 0));
 }
