--- a/src/entries/edge/pooled-entry.ts
+++ b/src/entries/edge/pooled-entry.ts
@@ -87,7 +87,7 @@
 			order: new LeastLaxity(),
 			leaseMilliseconds,
 			runTimes: new MeanRunTimes(),
-			patience: this.patience,
+			timeouts: this.patience,
 			losses: this.#losses,
 			pauses: this.pauses,
 			random: new Random(hashText(member)),
--- a/src/features/dispatch/available-remote-targets.ts
+++ b/src/features/dispatch/available-remote-targets.ts
@@ -1,26 +1,25 @@
-/** Which targets of other entries are worth looking at. */
+/** Lists the remote targets with free capacity. */
 import type {Pool} from '../pool/pool.js';
 import type {RemoteTarget} from './remote-target.js';
 
 /**
- * Targets that could take a task of so much processor. Found once for all waiting tasks: in an overload nearly every target is
- * too full for any of them, and searching all of them again for each task finds nothing each time. An
- * entry that isn't fresh may be gone: what is sent there comes back only when it's taken as lost, which is too late for
- * most tasks.
+ * Returns the targets of other entries with at least this much free CPU, in thousandths of a core. Computed once per
+ * placement pass, because under overload a search per task would scan every target and find none. Entries without a recent
+ * heartbeat are skipped: tasks sent to a dead entry return only after its failure is detected.
  */
 export function availableRemoteTargets(pool: Pool, leastCpuMillis: number): RemoteTarget[] {
-	const open: RemoteTarget[] = [];
+	const available: RemoteTarget[] = [];
 	for (const member of pool.members) {
 		if (!pool.isFresh(member)) {
 			continue;
 		}
 
-		for (const share of member.room) {
-			if (share.room.cpuMillis >= leastCpuMillis) {
-				open.push({member, target: share});
+		for (const target of member.room) {
+			if (target.room.cpuMillis >= leastCpuMillis) {
+				available.push({member, target});
 			}
 		}
 	}
 
-	return open;
+	return available;
 }
--- a/src/features/dispatch/caller-timeouts.ts
+++ b/src/features/dispatch/caller-timeouts.ts
@@ -1,33 +1,37 @@
-/** How long callers usually wait, by queue. */
+/** Typical caller timeouts by queue. */
 import type {ProfileName} from '../../base/profile-name.js';
 import {TypicalTimeout} from './typical-timeout.js';
 
-/** What is learned here outlives the process only where somebody reads it from here and tells it to the next one. */
+/** Learns the timeouts in memory; to keep them across restarts, read `typical` and pass it to `seed`. */
 export class CallerTimeouts {
 	readonly #queues = new Map<ProfileName, TypicalTimeout>();
 
-	/** The usual time of each queue of which it is known, in milliseconds. */
+	/** The typical timeout of each queue that has enough samples, in milliseconds. */
 	get typical(): ReadonlyMap<ProfileName, number> {
 		const known = new Map<ProfileName, number>();
-		for (const [queue, {milliseconds: usual}] of this.#queues) {
-			if (usual !== undefined) {
-				known.set(queue, usual);
+		for (const [queue, {milliseconds}] of this.#queues) {
+			if (milliseconds !== undefined) {
+				known.set(queue, milliseconds);
 			}
 		}
 
 		return known;
 	}
 
-	seed(queue: ProfileName, usualMilliseconds: number): void {
-		this.#of(queue).seed(usualMilliseconds);
+	/** Sets the typical timeout of a queue that has none yet. */
+	seed(queue: ProfileName, milliseconds: number): void {
+		this.#of(queue).seed(milliseconds);
 	}
 
-	/** How old a job is that is submitted now by a caller who states so much patience: at least, and 0 where nothing is known. */
-	estimateAge(queue: ProfileName, patienceMilliseconds: number, now: number): number {
-		const patience = this.#of(queue);
-		const {milliseconds: usual} = patience;
-		patience.record(patienceMilliseconds, now);
-		return usual === undefined ? 0 : Math.max(0, usual - patienceMilliseconds);
+	/**
+	 * Records a caller's timeout and returns a lower bound of the job's age in milliseconds, or 0 if the queue has too few
+	 * samples.
+	 */
+	estimateAge(queue: ProfileName, timeoutMilliseconds: number, now: number): number {
+		const timeout = this.#of(queue);
+		const {milliseconds: typical} = timeout;
+		timeout.record(timeoutMilliseconds, now);
+		return typical === undefined ? 0 : Math.max(0, typical - timeoutMilliseconds);
 	}
 
 	#of(queue: ProfileName): TypicalTimeout {
--- a/src/features/dispatch/choose-remote-target.ts
+++ b/src/features/dispatch/choose-remote-target.ts
@@ -1,27 +1,26 @@
-/** The choice among other entries' targets. */
+/** Chooses a remote target for a task. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Random} from '../../base/random.js';
 import {isPlaceFor} from '../execution/is-place-for.js';
 import type {RunRequest} from '../execution/run-request.js';
 import type {RemoteTarget} from './remote-target.js';
 
-/** With fewer choices in the own zone, entries that see the same picture send to the same target too often. */
-const enoughChoices = 8;
+/** Below this number of candidates in the zone, entries would pick the same target too often. */
+const minimumZoneChoices = 8;
 
 /**
- * Picks one of all targets with room at random: entries that see the same picture would otherwise all send to the same
- * target, and all but one be refused. Where the own zone offers enough of them it's one of those: within a large fleet that
- * keeps payloads, and the heartbeats of entries that run something for each other, from crossing between zones.
+ * Picks a target with enough free capacity at random, so that entries with the same view don't all send to one target and
+ * get refused. Prefers this zone when it has enough candidates, which reduces payload and heartbeat traffic between zones.
  */
-export function chooseRemoteTarget(open: readonly RemoteTarget[], request: RunRequest, zone: AvailabilityZone, random: Random): RemoteTarget | undefined {
-	const fitting = open.filter(({target: share}) => suits(share, request));
-	const near = fitting.filter(({member}) => member.member.zone === zone);
-	const choices = near.length >= enoughChoices ? near : fitting;
+export function chooseRemoteTarget(available: readonly RemoteTarget[], request: RunRequest, zone: AvailabilityZone, random: Random): RemoteTarget | undefined {
+	const eligible = available.filter(({target}) => canRun(target, request));
+	const sameZone = eligible.filter(({member}) => member.member.zone === zone);
+	const choices = sameZone.length >= minimumZoneChoices ? sameZone : eligible;
 	return choices.length === 0 ? undefined : choices[random.below(choices.length)];
 }
 
-function suits(share: RemoteTarget['target'], request: RunRequest): boolean {
-	return share.service === request.service
-		&& isPlaceFor(request, share.labels)
-		&& request.need.fitsInto(share.room);
+function canRun(target: RemoteTarget['target'], request: RunRequest): boolean {
+	return target.service === request.service
+		&& isPlaceFor(request, target.labels)
+		&& request.need.fitsInto(target.room);
 }
--- a/src/features/dispatch/dispatcher.ts
+++ b/src/features/dispatch/dispatcher.ts
@@ -1,4 +1,4 @@
-/** Jobs of this entry, from submission to answer. */
+/** Dispatching of jobs. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {CancellationToken} from '../../base/cancellation-token.js';
 import type {Clock} from '../../base/clock.js';
@@ -17,29 +17,29 @@
 import type {Pool} from '../pool/pool.js';
 import type {PoolMessage} from '../pool/pool-message.js';
 import type {BestEffortJob} from './best-effort-job.js';
-import {uncertainVerdict} from './uncertain-verdict.js';
-import {JobAdmission} from './job-admission.js';
+import type {CallerTimeouts} from './caller-timeouts.js';
 import {ExpiryTimer} from './expiry-timer.js';
+import {JobAdmission} from './job-admission.js';
 import {JobCompletion} from './job-completion.js';
 import type {JobOutcome} from './job-outcome.js';
 import {JobTable} from './job-table.js';
 import {OwnerCommands} from './owner-commands.js';
-import type {CallerTimeouts} from './caller-timeouts.js';
 import type {QueueOrder} from './queue-order.js';
 import {RunResults} from './run-results.js';
 import {TaskPlacer} from './task-placer.js';
+import {uncertainVerdict} from './uncertain-verdict.js';
 
-/** What the dispatcher works with. */
-type DispatcherParts = {
-	/** Where this entry is: of other entries' targets those there go first, where there are enough of them. */
+/** Dependencies of `Dispatcher`. */
+type DispatcherDependencies = {
+	/** Zone of this entry; remote targets in it are preferred. */
 	readonly zone: AvailabilityZone;
 	readonly executor: Executor;
 	readonly pool: Pool;
 	readonly order: QueueOrder;
-	/** The longest lease that a target grants. */
+	/** The longest lease that a target grants, in milliseconds. */
 	readonly leaseMilliseconds: number;
 	readonly runTimes: MeanRunTimes;
-	readonly patience: CallerTimeouts;
+	readonly timeouts: CallerTimeouts;
 	readonly losses: LossBook;
 	readonly pauses: PauseWatch;
 	readonly random: Random;
@@ -48,72 +48,73 @@
 };
 
 /**
- * Places the tasks of its jobs on the targets of any entry of the pool. A task waits here until some target has room, so
- * that the next one is chosen as late as possible.
+ * Runs jobs on the targets of all entries in the pool. Tasks queue here instead of at targets, which defers the choice of a
+ * target until one has free capacity (late binding).
  */
 export class Dispatcher implements Disposable {
 	readonly #jobs = new JobTable();
 	readonly #results: RunResults;
 	readonly #placer: TaskPlacer;
-	readonly #checks: ExpiryTimer;
-	readonly #owners: OwnerCommands;
-	readonly #conclusion: JobCompletion;
+	readonly #expiryTimer: ExpiryTimer;
+	readonly #ownerCommands: OwnerCommands;
+	readonly #completion: JobCompletion;
 	readonly #admission: JobAdmission;
 	readonly #store = new DisposableStore();
-	#isWaiting = false;
-	#isPumpDue = false;
+	#hasWaitingTasks = false;
+	#isPlacementScheduled = false;
 
-	constructor(private readonly parts: DispatcherParts) {
-		this.#placer = new TaskPlacer(parts);
-		this.#checks = this.#store.add(new ExpiryTimer(this.#jobs, parts.clock, () => {
-			this.#check();
+	constructor(private readonly dependencies: DispatcherDependencies) {
+		this.#placer = new TaskPlacer(dependencies);
+		this.#expiryTimer = this.#store.add(new ExpiryTimer(this.#jobs, dependencies.clock, () => {
+			this.#endExpired();
 		}));
-		this.#owners = new OwnerCommands({...parts, jobs: this.#jobs});
-		const placeSoon = () => {
-			this.#pumpSoon();
+		this.#ownerCommands = new OwnerCommands({...dependencies, jobs: this.#jobs});
+		const schedulePlacement = () => {
+			this.#schedulePlacement();
 		};
 
-		this.#conclusion = new JobCompletion({
-			...parts, jobs: this.#jobs, owners: this.#owners, placeSoon,
+		this.#completion = new JobCompletion({
+			...dependencies, jobs: this.#jobs, ownerCommands: this.#ownerCommands, schedulePlacement,
 		});
 		this.#admission = new JobAdmission({
-			...parts, jobs: this.#jobs, conclusion: this.#conclusion, placeSoon,
+			...dependencies, jobs: this.#jobs, completion: this.#completion, schedulePlacement,
 		});
-		this.#results = this.#resultsOf(parts);
-		this.#connect();
+		this.#results = this.#createResults(dependencies);
+		this.#subscribe();
 	}
 
-	/** What waits for room, for the entries that have it; and who runs something for this one. */
+	/** Demand of waiting tasks, and owners of current runs. */
 	get jobs(): Pick<JobTable, 'minimumNeeds' | 'owners' | 'waitingTasks' | 'waitingJobsOf'> {
 		return this.#jobs;
 	}
 
+	/** Number of jobs that have not been answered. */
 	get inFlight(): number {
 		return this.#jobs.size;
 	}
 
-	/** Runs a job; the token is cancelled when its submitter is gone. */
+	/** Runs a job; the token is cancelled when its submitter disconnects. */
 	async submit(job: BestEffortJob, token: CancellationToken): Promise<Verdict<JobOutcome>> {
 		if (token.isCancellationRequested) {
-			return {kind: 'notRun', cause: 'notReady', detail: 'the submitter is gone'};
+			return {kind: 'notRun', cause: 'notReady', detail: 'the submitter disconnected'};
 		}
 
 		return new Promise(resolve => {
-			const now = this.parts.clock.now();
-			const ageMilliseconds = this.parts.patience.estimateAge(job.route.queue, job.callerTimeoutMilliseconds, now);
+			const now = this.dependencies.clock.now();
+			const ageMilliseconds = this.dependencies.timeouts.estimateAge(job.route.queue, job.callerTimeoutMilliseconds, now);
 			const submission = {receivedAt: now, ageMilliseconds, settle: resolve};
 			this.#admission.admit(job, submission, token);
 		});
 	}
 
-	/** Ends a job that is under way; false where there's none. */
+	/** Ends a running job; returns false if there is none with this id. */
 	cancel(id: JobId): boolean {
 		const running = this.#jobs.get(id);
 		if (running === undefined) {
 			return false;
 		}
 
-		this.#conclusion.end(running, uncertainVerdict('stopped', 'cancelled by its submitter'));
+		this.#completion.end(running, uncertainVerdict('stopped', 'cancelled by its submitter'));
 		return true;
 	}
 
@@ -121,43 +122,43 @@
 		return this.#jobs.get(id) !== undefined;
 	}
 
-	/** Runs changed hands: their next owner has to tell, or they have ended with their lease. */
-	recordHandovers(handovers: readonly Handover[], former: MemberId): void {
-		this.#results.recordHandovers(handovers, former);
+	/** Marks runs as handed over until a new owner adopts them or their lease expires. */
+	recordHandovers(handovers: readonly Handover[], previousOwner: MemberId): void {
+		this.#results.recordHandovers(handovers, previousOwner);
 	}
 
-	/** Answers every job as it stands; the process is about to end. */
+	/** Answers all jobs before the process exits. */
 	endAllJobs(): void {
-		this.#conclusion.endAll('draining', 'the entry ends');
+		this.#completion.endAll('draining', 'the entry ends');
 	}
 
 	dispose(): void {
 		this.#store.dispose();
 	}
 
-	#resultsOf(parts: DispatcherParts): RunResults {
+	#createResults(dependencies: DispatcherDependencies): RunResults {
 		return new RunResults({
-			...parts,
+			...dependencies,
 			jobs: this.#jobs,
 			listener: {
-				onDidSettle: (job, answer) => {
-					this.#conclusion.end(job, {kind: 'answered', answer});
+				onDidFinish: (job, answer) => {
+					this.#completion.end(job, {kind: 'answered', answer});
 				},
-				onDidFree: () => {
-					this.#pumpSoon();
+				onDidRequeue: () => {
+					this.#schedulePlacement();
 				},
-				onDidLose: (job, slot) => {
-					this.#conclusion.endIfBlocked(job, slot);
+				onDidLoseRun: (job, state) => {
+					this.#completion.endIfBlocked(job, state);
 				},
-				onDidFindUnwanted: (task, attempt, owner) => {
-					this.#owners.stop({task, attempt, owner}, 'nobody waits for it');
+				onDidFindOrphan: (task, attempt, owner) => {
+					this.#ownerCommands.stop({task, attempt, owner}, 'nobody waits for it');
 				},
 			},
 		});
 	}
 
-	#connect(): void {
-		const {executor, pool, losses, journal} = this.parts;
+	#subscribe(): void {
+		const {executor, pool, losses, journal} = this.dependencies;
 		this.#store.add(executor.onDidReport(({requester, task, attempt, outcome}) => {
 			if (requester === pool.self) {
 				this.#results.recordOutcome(task, attempt, outcome);
@@ -172,64 +173,64 @@
 			}
 		}));
 		this.#store.add(pool.onDidLose(member => {
-			this.#conclusion.endAllOn(member);
+			this.#completion.endAllOn(member);
 		}));
 		this.#store.add(pool.onDidLoseTouch(cause => {
 			journal.record('touchLost', {cause, jobs: this.#jobs.size});
-			this.#conclusion.endAll('notReady', `the entry was out of touch: ${cause}`);
+			this.#completion.endAll('notReady', `the entry was out of touch: ${cause}`);
 		}));
 		this.#store.add(losses.onDidBar(task => {
 			const found = this.#jobs.findTask(task);
 			if (found !== undefined) {
-				this.#conclusion.endIfBlocked(found.job, found.slot);
+				this.#completion.endIfBlocked(found.job, found.state);
 			}
 		}));
 		this.#store.add(pool.onDidReconnect(member => {
-			this.#owners.resend(member);
+			this.#ownerCommands.resend(member);
 		}));
 		this.#store.add(pool.onDidChangeRoom(() => {
-			this.#pumpSoon();
+			this.#schedulePlacement();
 		}));
 		this.#store.add(executor.onDidChangeRoom(() => {
-			this.#pumpSoon();
+			this.#schedulePlacement();
 		}));
 	}
 
-	/** Places what can be placed now, in order. */
-	#pump(): void {
-		const {pauses} = this.parts;
+	/** Runs a placement pass, unless the process has just resumed from a pause. */
+	#placeWaiting(): void {
+		const {pauses} = this.dependencies;
 		pauses.look();
 		if (pauses.isWaking) {
-			void this.#pumpWhenAwake();
+			void this.#placeAfterPause();
 			return;
 		}
 
-		const isWaiting = !this.#placer.placeAll(this.#jobs);
-		if (isWaiting && !this.#isWaiting) {
-			// The others tell of their room at once while they know that somebody waits.
-			this.parts.pool.tellWaiting();
+		const hasWaitingTasks = !this.#placer.placeAll(this.#jobs);
+		if (hasWaitingTasks && !this.#hasWaitingTasks) {
+			// Other entries report free capacity immediately while they know that tasks wait here.
+			this.dependencies.pool.tellWaiting();
 		}
 
-		this.#isWaiting = isWaiting;
+		this.#hasWaitingTasks = hasWaitingTasks;
 	}
 
-	/** After a pause the tasks of these jobs may have been begun elsewhere: whether there was one shows in a moment. */
-	async #pumpWhenAwake(): Promise<void> {
-		await this.parts.pauses.whenAwake();
-		this.#pumpSoon();
+	/** Waits for messages that arrived during a pause: the tasks may have been started elsewhere. */
+	async #placeAfterPause(): Promise<void> {
+		await this.dependencies.pauses.whenAwake();
+		this.#schedulePlacement();
 	}
 
-	/** One report of a target or one batch of messages changes room several times: the queue is gone through once for all. */
-	#pumpSoon(): void {
-		if (this.#isPumpDue || this.#jobs.size === 0) {
+	/** Coalesces the capacity changes of one event-loop turn into a single placement pass. */
+	#schedulePlacement(): void {
+		if (this.#isPlacementScheduled || this.#jobs.size === 0) {
 			return;
 		}
 
-		this.#isPumpDue = true;
-		this.parts.clock.defer(() => {
-			this.#isPumpDue = false;
-			this.#pump();
-			this.#checks.schedule();
+		this.#isPlacementScheduled = true;
+		this.dependencies.clock.defer(() => {
+			this.#isPlacementScheduled = false;
+			this.#placeWaiting();
+			this.#expiryTimer.schedule();
 		});
 	}
 
@@ -243,15 +244,15 @@
 		}
 
 		if (message.kind === 'adopted' && this.#results.adopt(message.task, message.attempt, from)) {
-			this.parts.pool.send(from, {kind: 'adoptionHeard', task: message.task, attempt: message.attempt});
+			this.dependencies.pool.send(from, {kind: 'adoptionHeard', task: message.task, attempt: message.attempt});
 		}
 	}
 
-	#check(): void {
-		const now = this.parts.clock.now();
+	#endExpired(): void {
+		const now = this.dependencies.clock.now();
 		for (const job of this.#jobs) {
 			this.#results.endUnadopted(job, now);
-			this.#conclusion.endIfExpired(job, now);
+			this.#completion.endIfExpired(job, now);
 		}
 	}
 }
--- a/src/features/dispatch/ended-jobs.ts
+++ b/src/features/dispatch/ended-jobs.ts
@@ -1,62 +1,59 @@
-/** Tasks of jobs that are over here, for the case that they are submitted again. */
+/** Task states of recently ended jobs, kept for resubmissions. */
 import type {JobId} from '../../base/job-id.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {TaskState} from './task-state.js';
 
-/**
- * How long they are kept: above the time after which a caller submits again, and above the time for which a report of a run
- * may be repeated after a lost connection.
- */
-const keptMilliseconds = 10_000;
+/** Longer than the resubmission delay of callers and than the period in which a reconnecting entry repeats reports. */
+const retentionMilliseconds = 10_000;
 
-type EndedJob = {readonly slots: readonly TaskState[]; readonly endedAt: number};
+type EndedJob = {readonly tasks: readonly TaskState[]; readonly endedAt: number};
 
 /**
- * A job that is submitted again has the same task names. Its runs of before may still be ending: without their attempts and
- * owners, their late reports would be taken for those of new runs, and a task would run twice at a time.
+ * A resubmitted job reuses its task ids while earlier runs may still be ending. Without their attempts and owners, a late
+ * report would be attributed to a new run, and the task could run twice at once.
  */
 export class EndedJobs {
-	readonly #former = new Map<JobId, EndedJob>();
+	readonly #jobs = new Map<JobId, EndedJob>();
 
 	/**
-	 * Keeps a job's tasks. Runs that are still under way count as handed over to nobody from now on: if nothing is heard of
-	 * them, they have ended with their lease.
+	 * Keeps the tasks of an ended job. Runs still in progress are marked as handed over at `now`, so that they count as ended
+	 * once their lease has expired without a report.
 	 */
-	add(id: JobId, slots: readonly TaskState[], now: number): void {
-		this.#forgetOld(now);
-		for (const slot of slots) {
-			if (slot.owner !== undefined) {
-				slot.handedOverAt ??= now;
+	add(id: JobId, tasks: readonly TaskState[], now: number): void {
+		this.#evictExpired(now);
+		for (const state of tasks) {
+			if (state.owner !== undefined) {
+				state.handedOverAt ??= now;
 			}
 		}
 
-		this.#former.delete(id);
-		this.#former.set(id, {slots, endedAt: now});
+		this.#jobs.delete(id);
+		this.#jobs.set(id, {tasks, endedAt: now});
 	}
 
-	/** The tasks of a job that is submitted again, with what has happened to them since; they aren't kept any longer. */
+	/** Removes and returns the current task states of a resubmitted job. */
 	take(id: JobId): readonly TaskState[] | undefined {
-		const former = this.#former.get(id);
-		this.#former.delete(id);
-		return former?.slots;
+		const job = this.#jobs.get(id);
+		this.#jobs.delete(id);
+		return job?.tasks;
 	}
 
 	tasksOwnedBy(owner: MemberId): readonly TaskState[] {
-		return [...this.#former.values()].flatMap(({slots}) => slots.filter(slot => slot.owner === owner));
+		return [...this.#jobs.values()].flatMap(({tasks}) => tasks.filter(state => state.owner === owner));
 	}
 
 	find(id: JobId, task: string): TaskState | undefined {
-		return this.#former.get(id)?.slots.find(slot => slot.id === task);
+		return this.#jobs.get(id)?.tasks.find(state => state.id === task);
 	}
 
-	/** Insertion order is age. */
-	#forgetOld(now: number): void {
-		for (const [id, {endedAt}] of this.#former) {
-			if (now - endedAt < keptMilliseconds) {
+	/** Iterates in insertion order, oldest first. */
+	#evictExpired(now: number): void {
+		for (const [id, {endedAt}] of this.#jobs) {
+			if (now - endedAt < retentionMilliseconds) {
 				return;
 			}
 
-			this.#former.delete(id);
+			this.#jobs.delete(id);
 		}
 	}
 }
--- a/src/features/dispatch/expiry-timer.ts
+++ b/src/features/dispatch/expiry-timer.ts
@@ -1,23 +1,23 @@
-/** When waiting jobs are looked at. */
+/** Schedules expiry checks of jobs. */
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
 import type {JobTable} from './job-table.js';
 
-/** Jobs are looked at no later than this after the first of them is to be given up, and no more often. */
-const checkMilliseconds = 20;
-/** Unless one falls due sooner. */
-const longestCheckMilliseconds = 200;
+/** Minimum interval between checks, and the longest delay after the earliest expiry. */
+const minimumDelayMilliseconds = 20;
+/** Interval of checks while no job expires sooner. */
+const maximumDelayMilliseconds = 200;
 
-/** Calls back while there are jobs, when the first of them falls due, which may be sooner than it was. */
+/** Calls back at the earliest expiry while there are jobs. */
 export class ExpiryTimer implements Disposable {
 	#timer: Disposable | undefined;
 	#due = 0;
 
-	constructor(private readonly jobs: JobTable, private readonly clock: Clock, private readonly check: () => void) {}
+	constructor(private readonly jobs: JobTable, private readonly clock: Clock, private readonly callback: () => void) {}
 
-	/** Sets the next look; jobs have come, or fall due at other times than before. */
+	/** Reschedules the next check after jobs were added or their expiry changed. */
 	schedule(): void {
-		const due = this.clock.now() + this.#untilDue();
+		const due = this.clock.now() + this.#nextDelay();
 		if (this.#timer !== undefined && due >= this.#due) {
 			return;
 		}
@@ -26,7 +26,7 @@
 		this.#due = due;
 		this.#timer = this.clock.schedule(due - this.clock.now(), () => {
 			this.#timer = undefined;
-			this.check();
+			this.callback();
 			if (this.jobs.size > 0) {
 				this.schedule();
 			}
@@ -37,13 +37,13 @@
 		this.#timer?.dispose();
 	}
 
-	#untilDue(): number {
+	#nextDelay(): number {
 		const now = this.clock.now();
-		let until = longestCheckMilliseconds;
+		let delay = maximumDelayMilliseconds;
 		for (const job of this.jobs) {
-			until = Math.min(until, job.expiresAt - now);
+			delay = Math.min(delay, job.expiresAt - now);
 		}
 
-		return Math.max(checkMilliseconds, until);
+		return Math.max(minimumDelayMilliseconds, delay);
 	}
 }
--- a/src/features/dispatch/job-admission.ts
+++ b/src/features/dispatch/job-admission.ts
@@ -1,4 +1,4 @@
-/** How submissions become jobs of this entry. */
+/** Admits submissions as jobs of this entry. */
 import type {CancellationToken} from '../../base/cancellation-token.js';
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {Executor} from '../execution/executor.js';
@@ -6,36 +6,36 @@
 import type {MeanRunTimes} from '../placement/mean-run-times.js';
 import type {Pool} from '../pool/pool.js';
 import type {BestEffortJob} from './best-effort-job.js';
-import {uncertainVerdict} from './uncertain-verdict.js';
 import type {JobCompletion} from './job-completion.js';
 import type {JobTable} from './job-table.js';
 import {RunningJob} from './running-job.js';
+import {uncertainVerdict} from './uncertain-verdict.js';
 
 type Submission = RunningJob['submission'];
 
-/** What the admission works with. */
-type JobAdmissionParts = {
+/** Dependencies of `JobAdmission`. */
+type JobAdmissionDependencies = {
 	readonly jobs: JobTable;
-	readonly conclusion: JobCompletion;
+	readonly completion: JobCompletion;
 	readonly executor: Executor;
 	readonly pool: Pool;
 	readonly runTimes: MeanRunTimes;
 	readonly losses: LossBook;
 	readonly journal: Journal;
-	/** Has waiting tasks placed where they can be. */
-	readonly placeSoon: () => void;
+	/** Schedules a placement pass for waiting tasks. */
+	readonly schedulePlacement: () => void;
 };
 
-/** Begins a job at its first submission, joins a further one to what runs of it, and follows each until its submitter is gone. */
+/** Starts a job at its first submission, attaches resubmissions to the running job, and ends it when its submitter disconnects. */
 export class JobAdmission {
-	/** Whether any target with room was known since the start. */
-	#hasSeenRoom = false;
+	/** Whether free capacity on any target has been reported since the process started. */
+	#isCapacityKnown = false;
 
-	constructor(private readonly parts: JobAdmissionParts) {}
+	constructor(private readonly dependencies: JobAdmissionDependencies) {}
 
-	/** Takes a submission; the token is cancelled when its submitter is gone. */
+	/** Admits a submission; the token is cancelled when its submitter disconnects. */
 	admit(job: BestEffortJob, submission: Submission, token: CancellationToken): void {
-		const running = this.parts.jobs.get(job.id);
+		const running = this.dependencies.jobs.get(job.id);
 		if (running === undefined) {
 			this.#accept(job, submission, token);
 		} else {
@@ -44,12 +44,12 @@
 	}
 
 	#accept(job: BestEffortJob, submission: Submission, token: CancellationToken): void {
-		const {runTimes, journal} = this.parts;
+		const {runTimes, journal} = this.dependencies;
 		const expected = runTimes.mean(job.route.queue, job.shape.declaredMilliseconds);
-		const former = this.parts.jobs.takeEnded(job.id);
-		const running = new RunningJob(job, submission, Math.max(expected, job.shape.declaredMilliseconds), former);
-		running.isBeforeCapacityKnown = !this.#seesRoom();
-		this.parts.jobs.add(running);
+		const previousTasks = this.dependencies.jobs.takeEnded(job.id);
+		const running = new RunningJob(job, submission, Math.max(expected, job.shape.declaredMilliseconds), previousTasks);
+		running.isBeforeCapacityKnown = !this.#checkCapacityKnown();
+		this.dependencies.jobs.add(running);
 		journal.record('jobAccepted', {
 			job: job.id,
 			queue: job.route.queue,
@@ -58,65 +58,64 @@
 			objectiveMilliseconds: Math.round(running.objectiveMilliseconds),
 			patienceMilliseconds: job.callerTimeoutMilliseconds,
 			ageMilliseconds: Math.round(submission.ageMilliseconds ?? 0),
-			isResubmitted: former !== undefined,
+			isResubmitted: previousTasks !== undefined,
 			isBeforeRoom: running.isBeforeCapacityKnown,
 		});
 		this.#watchSubmitter(running, token);
 		if (running.isComplete) {
-			this.parts.conclusion.end(running, {kind: 'answered', answer: 'complete'});
+			this.dependencies.completion.end(running, {kind: 'answered', answer: 'complete'});
 			return;
 		}
 
-		this.#takeLosses(running);
+		this.#applyLosses(running);
 		if (running.isEnded) {
 			return;
 		}
 
-		// What can be of no use any more is told so at once, and takes no room from those that can.
-		this.parts.conclusion.endIfExpired(running, submission.receivedAt);
-		this.parts.placeSoon();
+		// Refuses a job that can't meet its objective before it takes capacity.
+		this.dependencies.completion.endIfExpired(running, submission.receivedAt);
+		this.dependencies.schedulePlacement();
 	}
 
-	/** The runs go on: stopping and beginning them again would run each task twice at a time. */
+	/** Keeps the current runs: restarting them would run each task twice at once. */
 	#rejoin(running: RunningJob, submission: Submission, token: CancellationToken): void {
 		running.submission.settle(uncertainVerdict('stopped', 'submitted again'));
 		running.resubmit(submission);
-		this.parts.journal.record('jobRejoined', {job: running.job.id, startedTasks: running.possibleStarts});
+		this.dependencies.journal.record('jobRejoined', {job: running.job.id, startedTasks: running.possibleStarts});
 		this.#watchSubmitter(running, token);
 	}
 
-	/** A submitter who is gone ends the job, unless it was submitted again since. */
+	/** Ends the job when its submitter disconnects, unless a later submission replaced it. */
 	#watchSubmitter(running: RunningJob, token: CancellationToken): void {
 		const {submission} = running;
 		token.onDidRequestCancellation(() => {
 			if (running.submission === submission) {
-				this.parts.conclusion.end(running, uncertainVerdict('stopped', 'the submitter is gone'));
+				this.dependencies.completion.end(running, uncertainVerdict('stopped', 'the submitter disconnected'));
 			}
 		});
 	}
 
 	/**
-	 * For a moment after its start an entry knows of no target: it owns none yet, and the others haven't told of theirs. That
-	 * isn't overload. Refused by the rule for that, all that comes in this time would be lost, while most of it could still
-	 * be answered, if late, and the targets stand free.
+	 * Shortly after startup an entry knows of no targets, which is not overload. Jobs that arrive before then are exempt from
+	 * the overload rule, since the targets may be idle.
 	 */
-	#seesRoom(): boolean {
-		const {executor, pool} = this.parts;
-		this.#hasSeenRoom ||= executor.room.length > 0 || [...pool.members].some(({room}) => room.length > 0);
-		return this.#hasSeenRoom;
+	#checkCapacityKnown(): boolean {
+		const {executor, pool} = this.dependencies;
+		this.#isCapacityKnown ||= executor.room.length > 0 || [...pool.members].some(({room}) => room.length > 0);
+		return this.#isCapacityKnown;
 	}
 
-	/** What other entries have told of the job's tasks: an earlier submission of it has run there. */
-	#takeLosses(job: RunningJob): void {
-		const {losses} = this.parts;
+	/** Applies losses of the job's tasks that other entries reported for an earlier submission. */
+	#applyLosses(job: RunningJob): void {
+		const {losses} = this.dependencies;
 		if (losses.isEmpty) {
 			return;
 		}
 
-		for (const slot of job.tasks) {
-			if (losses.conditionOf(slot.id) !== 'sound') {
+		for (const state of job.tasks) {
+			if (losses.conditionOf(state.id) !== 'sound') {
 				job.possibleStarts = Math.max(1, job.possibleStarts);
-				this.parts.conclusion.endIfBlocked(job, slot);
+				this.dependencies.completion.endIfBlocked(job, state);
 			}
 		}
 	}
--- a/src/features/dispatch/job-completion.ts
+++ b/src/features/dispatch/job-completion.ts
@@ -1,73 +1,73 @@
-/** How jobs of this entry end. */
+/** Completion of jobs. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {Verdict} from '../../base/verdict.js';
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {LossBook} from '../execution/loss-book.js';
-import {uncertainVerdict} from './uncertain-verdict.js';
 import type {JobOutcome} from './job-outcome.js';
 import type {JobTable} from './job-table.js';
 import type {OwnerCommands} from './owner-commands.js';
 import type {RunningJob} from './running-job.js';
 import type {TaskState} from './task-state.js';
+import {uncertainVerdict} from './uncertain-verdict.js';
 
-/** What the conclusion works with. */
+/** Dependencies of `JobCompletion`. */
 type JobCompletionDependencies = {
 	readonly jobs: JobTable;
-	readonly owners: OwnerCommands;
+	readonly ownerCommands: OwnerCommands;
 	readonly losses: LossBook;
 	readonly clock: Clock;
 	readonly journal: Journal;
-	/** Has waiting tasks placed where they can be. */
-	readonly placeSoon: () => void;
+	/** Schedules a placement pass for waiting tasks. */
+	readonly schedulePlacement: () => void;
 };
 
-/** Answers jobs, once each, and decides which are given up: those past their time, on lost owners, or whose tasks may not start. */
+/** Answers each job once, and ends jobs that have expired, lost an owner, or have a task that must not start. */
 export class JobCompletion {
-	constructor(private readonly parts: JobCompletionDependencies) {}
+	constructor(private readonly dependencies: JobCompletionDependencies) {}
 
-	/** Answers a job, and has whatever still runs of it ended; one that is over stays as it was answered. */
+	/** Answers a job and stops its remaining runs; does nothing if it has already ended. */
 	end(job: RunningJob, verdict: Verdict<JobOutcome>): void {
 		if (job.isEnded) {
 			return;
 		}
 
 		job.isEnded = true;
-		this.parts.jobs.remove(job, this.parts.clock.now());
-		for (const slot of job.tasks) {
-			if (slot.owner !== undefined) {
-				this.parts.owners.stop({task: slot.id, attempt: slot.attempt, owner: slot.owner}, 'its job is over');
+		this.dependencies.jobs.remove(job, this.dependencies.clock.now());
+		for (const state of job.tasks) {
+			if (state.owner !== undefined) {
+				this.dependencies.ownerCommands.stop({task: state.id, attempt: state.attempt, owner: state.owner}, 'its job is over');
 			}
 		}
 
-		this.parts.journal.record('jobEnded', {
+		this.dependencies.journal.record('jobEnded', {
 			job: job.job.id,
 			queue: job.job.route.queue,
 			verdict: verdict.kind,
 			detail: verdict.kind === 'answered' ? verdict.answer : `${verdict.cause}: ${verdict.detail}`,
-			tookMilliseconds: Math.round(this.parts.clock.now() - job.receivedAt),
+			tookMilliseconds: Math.round(this.dependencies.clock.now() - job.receivedAt),
 			expectedMilliseconds: Math.round(job.expectedMilliseconds),
 		});
 		job.submission.settle(verdict);
 	}
 
-	/** Answers every job as it stands. */
+	/** Ends every job: as not run if none of its tasks can have started, otherwise as possibly run. */
 	endAll(cause: 'draining' | 'notReady', detail: string): void {
-		for (const job of this.parts.jobs) {
+		for (const job of this.dependencies.jobs) {
 			this.end(job, job.mayHaveRun ? uncertainVerdict('stopped', detail) : {kind: 'notRun', cause, detail});
 		}
 	}
 
-	/** Its targets' runs end only when their leases do; until then nothing may start them again, so the job is given up. */
+	/** Ends jobs with runs on a lost entry: those tasks can't restart before their leases expire. */
 	endAllOn(member: MemberId): void {
-		for (const job of this.parts.jobs) {
-			if (job.tasks.some(slot => slot.owner === member)) {
+		for (const job of this.dependencies.jobs) {
+			if (job.tasks.some(state => state.owner === member)) {
 				this.end(job, uncertainVerdict('executorLost', `${member} is lost`));
 			}
 		}
 	}
 
-	/** Ends a job that can be of no use any more; one that has waited for room near its data may run far from it from here on. */
+	/** Ends an expired job, or lifts its locality constraint first if it has waited for capacity near its data. */
 	endIfExpired(job: RunningJob, now: number): void {
 		if (now <= job.expiresAt) {
 			return;
@@ -75,7 +75,7 @@
 
 		if (!job.isLocalityRelaxed && job.hasWaiting) {
 			job.relaxLocality();
-			this.parts.placeSoon();
+			this.dependencies.schedulePlacement();
 			return;
 		}
 
@@ -87,14 +87,14 @@
 	}
 
 	/**
-	 * A task that has crashed its targets can't be done, and neither can its job. One that was lost as often with targets of
-	 * which nothing is known yet isn't started again, and its caller hears so at once.
+	 * Ends the job if a task must not start again: as failed if the task crashes its targets, and as possibly run while the
+	 * state of the lost targets is unknown.
 	 */
-	endIfBlocked(job: RunningJob, slot: TaskState): void {
-		const condition = this.parts.losses.conditionOf(slot.id);
+	endIfBlocked(job: RunningJob, state: TaskState): void {
+		const condition = this.dependencies.losses.conditionOf(state.id);
 		if (condition === 'hopeless') {
 			this.end(job, {kind: 'answered', answer: 'failed'});
-		} else if (condition === 'suspended' && slot.owner === undefined && !slot.isDone) {
+		} else if (condition === 'suspended' && state.owner === undefined && !state.isDone) {
 			this.end(job, uncertainVerdict('executorLost', 'its targets are lost'));
 		}
 	}
--- a/src/features/dispatch/job-outcome.ts
+++ b/src/features/dispatch/job-outcome.ts
@@ -1,4 +1,4 @@
-/** How a job ended. */
+/** Outcome of an answered job. */
 
-/** `complete`: every task ended well. `failed`: a task failed as often as its queue allows. */
+/** `complete`: every task succeeded. `failed`: a task used up the attempts of its queue, or crashes its targets. */
 export type JobOutcome = 'complete' | 'failed';
--- a/src/features/dispatch/job-table.ts
+++ b/src/features/dispatch/job-table.ts
@@ -1,4 +1,4 @@
-/** The jobs of this entry, from submission to answer. */
+/** Running jobs of this entry. */
 import type {JobId} from '../../base/job-id.js';
 import {jobOfTask} from '../../base/job-of-task.js';
 import type {MemberId} from '../../base/member-id.js';
@@ -8,15 +8,16 @@
 import type {RunningJob} from './running-job.js';
 import type {TaskState} from './task-state.js';
 
-/** Finds jobs and tasks by name, and sums up what they wait for. */
+/** Looks up jobs and tasks by id, and aggregates the demand of waiting tasks. */
 export class JobTable implements Iterable<RunningJob> {
 	readonly #jobs = new Map<JobId, RunningJob>();
-	readonly #former = new EndedJobs();
+	readonly #ended = new EndedJobs();
 
 	get size(): number {
 		return this.#jobs.size;
 	}
 
+	/** Number of tasks without a run. */
 	get waitingTasks(): number {
 		let waiting = 0;
 		for (const job of this.#jobs.values()) {
@@ -26,25 +27,25 @@
 		return waiting;
 	}
 
-	/** The least that a waiting task of each service needs; empty where none waits. */
+	/** The smallest requirement among waiting tasks, per service; empty if no task waits. */
 	get minimumNeeds(): readonly WantedRoom[] {
-		const least = new Map<string, WantedRoom>();
+		const minimum = new Map<string, WantedRoom>();
 		for (const running of this.#jobs.values()) {
 			const {service} = running.job.route;
 			const {need} = running.job.shape;
-			const known = least.get(service);
+			const known = minimum.get(service);
 			if (running.hasWaiting && (known === undefined || need.cpuMillis < known.need.cpuMillis)) {
-				least.set(service, {service, need});
+				minimum.set(service, {service, need});
 			}
 		}
 
-		return [...least.values()];
+		return [...minimum.values()];
 	}
 
-	/** Entries that run tasks of this one's jobs. */
+	/** Owners of the current runs, one item per run. */
 	* owners(): Iterable<MemberId> {
-		for (const {tasks: slots} of this.#jobs.values()) {
-			for (const {owner} of slots) {
+		for (const {tasks} of this.#jobs.values()) {
+			for (const {owner} of tasks) {
 				if (owner !== undefined) {
 					yield owner;
 				}
@@ -64,36 +65,36 @@
 		this.#jobs.set(running.job.id, running);
 	}
 
-	/** A job that is over; what may still run of it is kept for the case that it's submitted again. */
+	/** Removes an ended job; the states of tasks that may have run are kept for a resubmission. */
 	remove(running: RunningJob, now: number): void {
 		this.#jobs.delete(running.job.id);
 		if (running.mayHaveRun) {
-			this.#former.add(running.job.id, running.tasks, now);
+			this.#ended.add(running.job.id, running.tasks, now);
 		}
 	}
 
-	/** The tasks of a job that was over here and is submitted again. */
+	/** Removes and returns the tasks of an ended job that is resubmitted. */
 	takeEnded(id: JobId): readonly TaskState[] | undefined {
-		return this.#former.take(id);
+		return this.#ended.take(id);
 	}
 
-	/** Tasks of jobs that are over which an entry may still run. */
+	/** Tasks of ended jobs that an entry may still be running. */
 	endedTasksOwnedBy(owner: MemberId): readonly TaskState[] {
-		return this.#former.tasksOwnedBy(owner);
+		return this.#ended.tasksOwnedBy(owner);
 	}
 
 	findEndedTask(task: string): TaskState | undefined {
-		return this.#former.find(jobOfTask(task), task);
+		return this.#ended.find(jobOfTask(task), task);
 	}
 
-	/** Jobs of a queue of which no task was started. */
+	/** Number of jobs of a queue without a started task. */
 	waitingJobsOf(queue: ProfileName): number {
 		return [...this.#jobs.values()].filter(({job, mayHaveRun}) => job.route.queue === queue && !mayHaveRun).length;
 	}
 
-	findTask(task: string): {readonly job: RunningJob; readonly slot: TaskState} | undefined {
+	findTask(task: string): {readonly job: RunningJob; readonly state: TaskState} | undefined {
 		const job = this.#jobs.get(jobOfTask(task));
-		const slot = job?.tasks.find(candidate => candidate.id === task);
-		return job === undefined || slot === undefined ? undefined : {job, slot};
+		const state = job?.tasks.find(candidate => candidate.id === task);
+		return job === undefined || state === undefined ? undefined : {job, state};
 	}
 }
--- a/src/features/dispatch/owner-commands.ts
+++ b/src/features/dispatch/owner-commands.ts
@@ -1,4 +1,4 @@
-/** Orders to the owners of the targets on which tasks of this entry run. */
+/** Commands to the owners of targets that run this entry's tasks. */
 import type {MemberId} from '../../base/member-id.js';
 import type {TaskId} from '../../base/task-id.js';
 import type {Executor} from '../execution/executor.js';
@@ -8,20 +8,20 @@
 
 type OwnedRun = {readonly task: TaskId; readonly attempt: number; readonly owner: MemberId};
 
-/** What the orders work with. */
+/** Dependencies of `OwnerCommands`. */
 type OwnerCommandsDependencies = {
 	readonly jobs: JobTable;
 	readonly executor: Executor;
 	readonly pool: Pool;
 };
 
-/** Stops runs on the targets of this entry and of others, and says again what a lost connection may have swallowed. */
+/** Stops runs on local and remote targets, and resends commands after a reconnect. */
 export class OwnerCommands {
-	constructor(private readonly parts: OwnerCommandsDependencies) {}
+	constructor(private readonly dependencies: OwnerCommandsDependencies) {}
 
-	/** Has a run ended by whoever owns its target. */
+	/** Stops a run through the owner of its target. */
 	stop({task, attempt, owner}: OwnedRun, cause: string): void {
-		const {executor, pool} = this.parts;
+		const {executor, pool} = this.dependencies;
 		if (owner === pool.self) {
 			executor.stop(task, attempt, cause);
 		} else {
@@ -31,17 +31,17 @@
 		}
 	}
 
-	/** What was sent on the former connection may be lost: requests, and stops of jobs that are over. */
+	/** Resends run requests and stops that may have been lost with the previous connection. */
 	resend(member: MemberId): void {
-		const {jobs, pool} = this.parts;
+		const {jobs, pool} = this.dependencies;
 		for (const {id, attempt} of jobs.endedTasksOwnedBy(member)) {
 			this.stop({task: id, attempt, owner: member}, 'its job is over');
 		}
 
 		for (const job of jobs) {
-			for (const slot of job.tasks) {
-				if (slot.owner === member) {
-					pool.send(member, {kind: 'run', request: requestOf(job, slot)});
+			for (const state of job.tasks) {
+				if (state.owner === member) {
+					pool.send(member, {kind: 'run', request: requestOf(job, state)});
 				}
 			}
 		}
--- a/src/features/dispatch/queue-order.ts
+++ b/src/features/dispatch/queue-order.ts
@@ -1,8 +1,8 @@
-/** Which waiting job is next. */
+/** Order of waiting jobs. */
 import type {RunningJob} from './running-job.js';
 
-/** Orders the jobs that wait for room at an entry. */
+/** Ranks the jobs that wait for capacity at an entry. */
 export abstract class QueueOrder {
-	/** Lower comes first. */
+	/** The rank of a job at a monotonic time in milliseconds; lower ranks are placed first. */
 	abstract rank(job: RunningJob, now: number): number;
 }
--- a/src/features/dispatch/remote-target.ts
+++ b/src/features/dispatch/remote-target.ts
@@ -1,7 +1,7 @@
-/** A target of another entry that could take something now. */
+/** A target of another entry with free capacity. */
 import type {PoolMember} from '../pool/pool-member.js';
 
-/** `share` is the target's room as the entry told it last, less what was sent there since. */
+/** `target.room` is the free capacity last reported by the entry, less the tasks sent since. */
 export type RemoteTarget = {
 	readonly member: PoolMember;
 	readonly target: PoolMember['room'][number];
--- a/src/features/dispatch/request-of.ts
+++ b/src/features/dispatch/request-of.ts
@@ -1,20 +1,20 @@
-/** What an owner gets to see of a task. */
+/** Builds run requests. */
 import type {RunRequest} from '../execution/run-request.js';
 import type {RunningJob} from './running-job.js';
 import type {TaskState} from './task-state.js';
 
-/** The request for the present attempt. */
-export function requestOf({job, expectedMilliseconds}: RunningJob, slot: TaskState): RunRequest {
+/** The run request for the current attempt of a task. */
+export function requestOf({job, expectedMilliseconds}: RunningJob, state: TaskState): RunRequest {
 	return {
-		task: slot.id,
-		attempt: slot.attempt,
+		task: state.id,
+		attempt: state.attempt,
 		payload: job.payload,
 		need: job.shape.need,
 		queue: job.route.queue,
 		service: job.route.service,
 		place: job.shape.place,
 		isNearOnly: false,
-		avoid: [...slot.excludedTargets],
+		avoid: [...state.excludedTargets],
 		jobTasks: job.shape.count,
 		expectedMilliseconds,
 	};
--- a/src/features/dispatch/run-results.ts
+++ b/src/features/dispatch/run-results.ts
@@ -1,4 +1,4 @@
-/** What becomes of the runs of this entry's jobs. */
+/** Results of task runs. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {TaskId} from '../../base/task-id.js';
@@ -9,167 +9,167 @@
 import type {RunningJob} from './running-job.js';
 import type {TaskState} from './task-state.js';
 
-/** The next attempt after a target said that it knows a later one: above those of an earlier submission of the job. */
+/** Increment after a superseded attempt; exceeds the attempts of an earlier submission of the job. */
 const attemptStep = 16;
-/** A target's clock may be this much slower than ours. */
-const leaseDrift = 1.02;
-/** For the messages of the former owner and of the next one, also on a connection that's being made anew. */
-const adoptionSlackMilliseconds = 300;
+/** Ratio by which a target's clock may run slower than this one. */
+const maximumClockDrift = 1.02;
+/** Covers the delivery of handover and adoption messages, including a reconnect. */
+const adoptionGraceMilliseconds = 300;
 
-/** How an attempt ended, as an entry tells it. */
+/** An outcome reported by another entry. */
 type RunReport = {readonly task: TaskId; readonly attempt: number; readonly outcome: RunOutcome};
 
-/** What the results work with. */
-type RunResultsParts = {
+/** Dependencies of `RunResults`. */
+type RunResultsDependencies = {
 	readonly jobs: JobTable;
 	readonly runTimes: MeanRunTimes;
 	/** The longest lease that a target grants. */
 	readonly leaseMilliseconds: number;
 	readonly clock: Clock;
 	readonly listener: {
-		/** All tasks of a job are done, or one of them can't be. */
-		readonly onDidSettle: (job: RunningJob, answer: 'complete' | 'failed') => void;
-		/** A task's run is gone, perhaps with its target. */
-		readonly onDidLose: (job: RunningJob, slot: TaskState) => void;
-		/** A task waits again. */
-		readonly onDidFree: () => void;
-		/** A run goes on that nobody here waits for. */
-		readonly onDidFindUnwanted: (task: TaskId, attempt: number, owner: MemberId) => void;
+		/** All tasks of a job are done, or one used up its attempts. */
+		readonly onDidFinish: (job: RunningJob, answer: 'complete' | 'failed') => void;
+		/** A run was lost, possibly with its target. */
+		readonly onDidLoseRun: (job: RunningJob, state: TaskState) => void;
+		/** A task is waiting again. */
+		readonly onDidRequeue: () => void;
+		/** A run was adopted that belongs to no current attempt. */
+		readonly onDidFindOrphan: (task: TaskId, attempt: number, owner: MemberId) => void;
 	};
 };
 
-/** Takes the outcomes of runs, and follows runs from one owner to the next. */
+/** Applies run outcomes to their jobs, and tracks runs across ownership changes. */
 export class RunResults {
-	constructor(private readonly parts: RunResultsParts) {}
+	constructor(private readonly dependencies: RunResultsDependencies) {}
 
 	/**
-	 * Takes what an entry tells of an attempt's end. An end that was reached counts whoever tells it. That the attempt doesn't run
-	 * can be told only by its owner: another entry may have refused it in an earlier submission, and tell that again.
+	 * Records an outcome reported by another entry. Completions and failures are accepted from any entry. Refusals and losses
+	 * are accepted only from the owner, since another entry may repeat a refusal from an earlier submission.
 	 */
 	recordReport(from: MemberId, {task, attempt, outcome}: RunReport): void {
-		const slot = this.parts.jobs.findTask(task)?.slot ?? this.parts.jobs.findEndedTask(task);
-		const isOfOwner = slot?.owner === from || slot?.handedOverAt !== undefined;
-		if (isOfOwner || outcome.kind === 'done' || outcome.kind === 'failed') {
+		const state = this.dependencies.jobs.findTask(task)?.state ?? this.dependencies.jobs.findEndedTask(task);
+		const isFromOwner = state?.owner === from || state?.handedOverAt !== undefined;
+		if (isFromOwner || outcome.kind === 'done' || outcome.kind === 'failed') {
 			this.recordOutcome(task, attempt, outcome);
 		}
 	}
 
-	/** Takes how an attempt of a task ended. */
+	/** Records the outcome of an attempt; ignored unless the attempt is the current one. */
 	recordOutcome(task: string, attempt: number, outcome: RunOutcome): void {
-		const found = this.parts.jobs.findTask(task);
+		const found = this.dependencies.jobs.findTask(task);
 		if (found === undefined) {
-			this.#takeFormer(task, attempt, outcome);
+			this.#recordEndedOutcome(task, attempt, outcome);
 			return;
 		}
 
-		const {job, slot} = found;
-		if (slot.attempt !== attempt || slot.owner === undefined) {
+		const {job, state} = found;
+		if (state.attempt !== attempt || state.owner === undefined) {
 			return;
 		}
 
-		slot.owner = undefined;
-		slot.handedOverAt = undefined;
+		state.owner = undefined;
+		state.handedOverAt = undefined;
 		switch (outcome.kind) {
 			case 'done': {
-				slot.isDone = true;
-				this.parts.runTimes.record(job.job.route.queue, outcome.ranMilliseconds);
+				state.isDone = true;
+				this.dependencies.runTimes.record(job.job.route.queue, outcome.ranMilliseconds);
 				if (job.isComplete) {
-					this.parts.listener.onDidSettle(job, 'complete');
+					this.dependencies.listener.onDidFinish(job, 'complete');
 				}
 
 				return;
 			}
 
 			case 'failed': {
-				this.#takeFailure(job, slot, outcome);
+				this.#recordFailure(job, state, outcome);
 				break;
 			}
 
 			case 'refused': {
-				this.#takeRefusal(job, slot, outcome.cause);
+				this.#recordRefusal(job, state, outcome.cause);
 				break;
 			}
 
 			case 'gone': {
-				slot.attempt += 1;
-				slot.excludedTargets.add(outcome.target);
-				this.parts.listener.onDidLose(job, slot);
+				state.attempt += 1;
+				state.excludedTargets.add(outcome.target);
+				this.dependencies.listener.onDidLoseRun(job, state);
 				break;
 			}
 		}
 
-		this.parts.listener.onDidFree();
+		this.dependencies.listener.onDidRequeue();
 	}
 
-	/** A run goes on under another owner; false where nobody here waits for it. */
+	/** Assigns a run to its new owner; returns false, and reports an orphan, if the attempt is not the current one. */
 	adopt(task: TaskId, attempt: number, owner: MemberId): boolean {
-		const found = this.parts.jobs.findTask(task);
-		if (found?.slot.attempt === attempt && found.slot.owner !== undefined) {
-			found.slot.owner = owner;
-			found.slot.handedOverAt = undefined;
+		const found = this.dependencies.jobs.findTask(task);
+		if (found?.state.attempt === attempt && found.state.owner !== undefined) {
+			found.state.owner = owner;
+			found.state.handedOverAt = undefined;
 			return true;
 		}
 
-		// The job is over, or another attempt is under way: what was adopted must end.
-		this.parts.listener.onDidFindUnwanted(task, attempt, owner);
+		// The job has ended, or another attempt is running: the adopted run must be stopped.
+		this.dependencies.listener.onDidFindOrphan(task, attempt, owner);
 		return false;
 	}
 
 	/**
-	 * Runs changed hands: their next owner has to tell, or they have ended with their lease. Where the next owner's word came
-	 * first, the former owner's says nothing any more: the run would be counted as ended while it goes on.
+	 * Marks runs as handed over until the new owner adopts them or their lease expires. Ignores runs that already have a new
+	 * owner, since a late notice from the previous one would end a run that is still active.
 	 */
-	recordHandovers(handovers: readonly Handover[], former: MemberId): void {
+	recordHandovers(handovers: readonly Handover[], previousOwner: MemberId): void {
 		for (const {request} of handovers.flatMap(handover => handover.runs)) {
-			const found = this.parts.jobs.findTask(request.task);
-			if (found?.slot.attempt === request.attempt && found.slot.owner === former) {
-				found.slot.handedOverAt = this.parts.clock.now();
+			const found = this.dependencies.jobs.findTask(request.task);
+			if (found?.state.attempt === request.attempt && found.state.owner === previousOwner) {
+				found.state.handedOverAt = this.dependencies.clock.now();
 			}
 		}
 	}
 
-	/** Nobody renews the lease of a run that nobody adopted, so that it has ended once the lease has. */
+	/** Ends runs that no entry adopted before their lease expired. */
 	endUnadopted(job: RunningJob, now: number): void {
-		const limit = (this.parts.leaseMilliseconds * leaseDrift) + adoptionSlackMilliseconds;
-		for (const slot of job.tasks) {
-			if (slot.handedOverAt !== undefined && now - slot.handedOverAt > limit) {
-				this.recordOutcome(slot.id, slot.attempt, {kind: 'gone', target: '', cause: 'handed over to nobody'});
+		const limit = (this.dependencies.leaseMilliseconds * maximumClockDrift) + adoptionGraceMilliseconds;
+		for (const state of job.tasks) {
+			if (state.handedOverAt !== undefined && now - state.handedOverAt > limit) {
+				this.recordOutcome(state.id, state.attempt, {kind: 'gone', target: '', cause: 'handed over to nobody'});
 			}
 		}
 	}
 
-	/** The end of a run whose job is over here: it counts if the job is submitted again. */
-	#takeFormer(task: string, attempt: number, outcome: RunOutcome): void {
-		const slot = this.parts.jobs.findEndedTask(task);
-		if (slot?.attempt !== attempt || slot.owner === undefined) {
+	/** Records the outcome of a run whose job has ended, for a later resubmission. */
+	#recordEndedOutcome(task: string, attempt: number, outcome: RunOutcome): void {
+		const state = this.dependencies.jobs.findEndedTask(task);
+		if (state?.attempt !== attempt || state.owner === undefined) {
 			return;
 		}
 
-		slot.owner = undefined;
-		slot.handedOverAt = undefined;
-		slot.isDone = outcome.kind === 'done';
-		slot.attempt += outcome.kind === 'refused' && outcome.cause === 'superseded' ? attemptStep : 1;
+		state.owner = undefined;
+		state.handedOverAt = undefined;
+		state.isDone = outcome.kind === 'done';
+		state.attempt += outcome.kind === 'refused' && outcome.cause === 'superseded' ? attemptStep : 1;
 	}
 
-	#takeRefusal(job: RunningJob, slot: TaskState, cause: Extract<RunOutcome, {kind: 'refused'}>['cause']): void {
+	#recordRefusal(job: RunningJob, state: TaskState, cause: Extract<RunOutcome, {kind: 'refused'}>['cause']): void {
 		if (cause === 'superseded') {
-			// An earlier submission of the job ran there: this one can't be told as not run.
-			slot.attempt += attemptStep;
+			// An earlier submission of the job ran on this target, so the start still counts as possible.
+			state.attempt += attemptStep;
 			return;
 		}
 
-		slot.attempt += 1;
-		// What an owner calls outdated may have run there in a former epoch.
+		state.attempt += 1;
+		// An outdated attempt may have run in an earlier epoch.
 		job.possibleStarts -= cause === 'outdated' ? 0 : 1;
 	}
 
-	#takeFailure(job: RunningJob, slot: TaskState, outcome: Extract<RunOutcome, {kind: 'failed'}>): void {
-		// A failure on a target that fails others too says nothing of the task.
-		slot.failures += outcome.isTargetSuspect ? 0 : 1;
-		slot.attempt += 1;
-		slot.excludedTargets.add(outcome.target);
-		if (slot.failures >= job.job.route.attempts) {
-			this.parts.listener.onDidSettle(job, 'failed');
+	#recordFailure(job: RunningJob, state: TaskState, outcome: Extract<RunOutcome, {kind: 'failed'}>): void {
+		// Failures on a suspect target do not count against the task.
+		state.failures += outcome.isTargetSuspect ? 0 : 1;
+		state.attempt += 1;
+		state.excludedTargets.add(outcome.target);
+		if (state.failures >= job.job.route.attempts) {
+			this.dependencies.listener.onDidFinish(job, 'failed');
 		}
 	}
 }
--- a/src/features/dispatch/task-placer.ts
+++ b/src/features/dispatch/task-placer.ts
@@ -1,4 +1,4 @@
-/** Where waiting tasks go. */
+/** Placement of waiting tasks. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
@@ -7,19 +7,19 @@
 import type {Executor} from '../execution/executor.js';
 import type {RunRequest} from '../execution/run-request.js';
 import type {Pool} from '../pool/pool.js';
-import {chooseRemoteTarget} from './choose-remote-target.js';
-import type {RemoteTarget} from './remote-target.js';
 import {availableRemoteTargets} from './available-remote-targets.js';
+import {chooseRemoteTarget} from './choose-remote-target.js';
 import type {QueueOrder} from './queue-order.js';
+import type {RemoteTarget} from './remote-target.js';
 import {requestOf} from './request-of.js';
 import type {RunningJob} from './running-job.js';
 import type {TaskState} from './task-state.js';
 
-/** After so many tasks that fit nowhere the rest of the queue is left for the next change of room. */
-const missesToGiveUp = 6;
+/** Jobs that could not be placed before a pass stops and waits for the next change of capacity. */
+const maximumMisses = 6;
 
-/** What the placer works with. */
-type TaskPlacerParts = {
+/** Dependencies of `TaskPlacer`. */
+type TaskPlacerDependencies = {
 	readonly zone: AvailabilityZone;
 	readonly executor: Executor;
 	readonly pool: Pool;
@@ -29,13 +29,13 @@
 	readonly journal: Journal;
 };
 
-/** Puts tasks on the targets of any entry of the pool that has room now, in the order of their jobs. */
+/** Places tasks on local and remote targets with free capacity, in queue order. */
 export class TaskPlacer {
-	constructor(private readonly parts: TaskPlacerParts) {}
+	constructor(private readonly dependencies: TaskPlacerDependencies) {}
 
-	/** Whether nothing was left waiting. */
+	/** Runs a placement pass; returns whether no task is left waiting. */
 	placeAll(jobs: Iterable<RunningJob>): boolean {
-		const {pool, order, clock} = this.parts;
+		const {pool, order, clock} = this.dependencies;
 		const now = clock.now();
 		const waiting = [...jobs].filter(job => job.hasWaiting);
 		if (waiting.length === 0) {
@@ -43,13 +43,13 @@
 		}
 
 		const leastCpuMillis = Math.min(...waiting.map(({job}) => job.shape.need.cpuMillis));
-		const open = availableRemoteTargets(pool, leastCpuMillis);
+		const available = availableRemoteTargets(pool, leastCpuMillis);
 		const ranked = waiting.map(job => ({job, rank: order.rank(job, now)}));
 		ranked.sort((left, right) => left.rank - right.rank);
 		let misses = 0;
 		for (const {job} of ranked) {
-			misses += this.#placeTasksOf(job, open) ? 0 : 1;
-			if (misses >= missesToGiveUp) {
+			misses += this.#placeTasks(job, available) ? 0 : 1;
+			if (misses >= maximumMisses) {
 				break;
 			}
 		}
@@ -57,46 +57,46 @@
 		return misses === 0;
 	}
 
-	#placeTasksOf(job: RunningJob, open: readonly RemoteTarget[]): boolean {
-		return job.waiting.every(slot => this.#place(job, slot, open));
+	#placeTasks(job: RunningJob, available: readonly RemoteTarget[]): boolean {
+		return job.waiting.every(state => this.#place(job, state, available));
 	}
 
-	/** Places one task, near its data and on this entry's own targets first; false where it has to wait. */
-	#place(job: RunningJob, slot: TaskState, open: readonly RemoteTarget[]): boolean {
-		const {executor} = this.parts;
-		if (executor.isRunning(slot.id)) {
-			// Its caller submitted here after the loss of another entry, for which the task is still being stopped here.
+	/** Places one task, preferring targets near its data and local targets; returns false if it has to wait. */
+	#place(job: RunningJob, state: TaskState, available: readonly RemoteTarget[]): boolean {
+		const {executor} = this.dependencies;
+		if (executor.isRunning(state.id)) {
+			// The task still runs here for a lost entry, and is being stopped after the caller resubmitted it.
 			return false;
 		}
 
-		const request = requestOf(job, slot);
+		const request = requestOf(job, state);
 		if (request.place.nearLabel === undefined) {
-			return this.#start(job, slot, request, open);
+			return this.#start(job, state, request, available);
 		}
 
-		return this.#start(job, slot, {...request, isNearOnly: true}, open) || (job.isLocalityRelaxed && this.#start(job, slot, request, open));
+		return this.#start(job, state, {...request, isNearOnly: true}, available) || (job.isLocalityRelaxed && this.#start(job, state, request, available));
 	}
 
-	#start(job: RunningJob, slot: TaskState, request: RunRequest, open: readonly RemoteTarget[]): boolean {
-		const {zone, executor, pool, random} = this.parts;
+	#start(job: RunningJob, state: TaskState, request: RunRequest, available: readonly RemoteTarget[]): boolean {
+		const {zone, executor, pool, random} = this.dependencies;
 		if (executor.start(request, pool.self) !== undefined) {
-			note(job, slot, pool.self);
+			recordStart(job, state, pool.self);
 			return true;
 		}
 
-		const choice = chooseRemoteTarget(open, request, zone, random);
+		const choice = chooseRemoteTarget(available, request, zone, random);
 		if (choice === undefined) {
 			return false;
 		}
 
 		this.#send(request, choice);
-		note(job, slot, choice.member.member.id);
+		recordStart(job, state, choice.member.member.id);
 		return true;
 	}
 
-	#send(request: RunRequest, {member, target: share}: RemoteTarget): void {
-		const {pool, clock, journal} = this.parts;
-		share.room = share.room.minus(request.need);
+	#send(request: RunRequest, {member, target}: RemoteTarget): void {
+		const {pool, clock, journal} = this.dependencies;
+		target.room = target.room.minus(request.need);
 		pool.send(member.member.id, {kind: 'run', request});
 		journal.record('taskSent', {
 			task: request.task, attempt: request.attempt, owner: member.member.id, heardAgoMilliseconds: Math.round(clock.now() - member.heardAt),
@@ -104,7 +104,7 @@
 	}
 }
 
-function note(job: RunningJob, slot: TaskState, owner: MemberId): void {
+function recordStart(job: RunningJob, state: TaskState, owner: MemberId): void {
 	job.possibleStarts += 1;
-	slot.owner = owner;
+	state.owner = owner;
 }
--- a/src/features/dispatch/task-shape.ts
+++ b/src/features/dispatch/task-shape.ts
@@ -1,8 +1,8 @@
-/** The tasks of one step. */
+/** Requirements of the tasks of a job. */
 import type {Resources} from '../../base/resources.js';
 import type {TaskPlace} from '../execution/task-place.js';
 
-/** `count` tasks that need the same; the time is the submitter's estimate for each. */
+/** `count` identical tasks; `declaredMilliseconds` is the submitter's estimate for one of them. */
 export type TaskShape = {
 	readonly count: number;
 	readonly need: Resources;
--- a/src/features/dispatch/task-state.ts
+++ b/src/features/dispatch/task-state.ts
@@ -1,18 +1,16 @@
-/** One task of a running job. */
+/** State of one task of a running job. */
 import type {MemberId} from '../../base/member-id.js';
 import type {TaskId} from '../../base/task-id.js';
 
-/**
- * `owner` is the entry that runs the present attempt. Without one the task waits; a task that has ended well has
- * `isDone` set.
- */
+/** `owner` is the entry that runs the current attempt. A task without an owner is waiting, unless `isDone` is set. */
 export type TaskState = {
 	readonly id: TaskId;
 	attempt: number;
 	failures: number;
 	owner: MemberId | undefined;
-	/** When the owner gave the run's target up; none while its owner is known. */
+	/** Monotonic time at which the owner released the run's target; undefined once another entry has adopted the run. */
 	handedOverAt: number | undefined;
 	isDone: boolean;
+	/** Targets on which earlier attempts failed or were lost. */
 	readonly excludedTargets: Set<string>;
 };
--- a/src/features/dispatch/typical-timeout.ts
+++ b/src/features/dispatch/typical-timeout.ts
@@ -1,82 +1,82 @@
-/** How long the callers of one queue wait, as far as they say. */
+/** Typical caller timeout of one queue. */
 
-/** Of the stated times of fresh submissions this share lies below the usual one. */
-const lowShare = 0.05;
-/** So many are looked at before anything is said of the queue. */
-const firstSamples = 40;
-/** How far the usual time moves with one sample, as a share of it. */
-const step = 0.01;
-/** A submission that states less than this share of the usual time isn't counted among the fresh ones. */
-const freshShare = 0.8;
+/** Quantile of the timeouts of first submissions that is tracked. */
+const quantile = 0.05;
+/** Samples needed for the first estimate. */
+const initialSamples = 40;
+/** Step per sample, as a share of the estimate. */
+const learningRate = 0.01;
+/** A timeout below this share of the estimate marks a resubmission. */
+const freshThreshold = 0.8;
 /**
- * Half of the submissions are old for a second or two after all entries were lost. If that goes on for longer, the callers have
- * changed, and what was learned of them is wrong.
+ * Resets the estimate when most of the window has looked like resubmissions for this long: an outage causes that for a
+ * second or two, a change of the callers' timeouts for longer.
  */
-const doubtMilliseconds = 5000;
-const doubtSamples = 60;
+const resetMilliseconds = 5000;
+const windowSamples = 60;
 
 /**
- * A caller states with each submission how long it still waits. One that lost its answer submits again and states what is left:
- * the difference to what callers of its queue usually state is how old its job is. The usual time is a low quantile, since
- * callers of one queue state different times: a job is taken for younger than it is rather than for older.
+ * Estimates a low quantile of caller timeouts by stochastic approximation. Each submission states the caller's remaining
+ * time, so a timeout below the estimate reveals the age of a resubmitted job. The low quantile underestimates ages rather
+ * than overestimating them.
  */
 export class TypicalTimeout {
-	#usual: number | undefined;
-	#samples: number[] = [];
+	#milliseconds: number | undefined;
+	#firstSamples: number[] = [];
 	#recent: boolean[] = [];
-	#doubtedSince: number | undefined;
+	#shiftedSince: number | undefined;
 
-	/** In milliseconds; nothing while it isn't known. */
+	/** The estimate; undefined until enough samples were recorded. */
 	get milliseconds(): number | undefined {
-		return this.#usual;
+		return this.#milliseconds;
 	}
 
-	/** Takes what another entry, or an earlier life of this one, has learned, if nothing is known here. */
-	seed(usualMilliseconds: number): void {
-		this.#usual ??= usualMilliseconds;
+	/** Sets the estimate if there is none yet. */
+	seed(milliseconds: number): void {
+		this.#milliseconds ??= milliseconds;
 	}
 
-	/** Takes what a submission states. */
+	/** Records the timeout of a submission. */
 	record(milliseconds: number, now: number): void {
-		if (this.#usual === undefined) {
-			this.#learn(milliseconds);
+		if (this.#milliseconds === undefined) {
+			this.#initialize(milliseconds);
 			return;
 		}
 
-		const isFresh = milliseconds >= freshShare * this.#usual;
+		const isFresh = milliseconds >= freshThreshold * this.#milliseconds;
 		if (isFresh) {
-			this.#usual += step * this.#usual * (milliseconds < this.#usual ? lowShare - 1 : lowShare);
+			this.#milliseconds += learningRate * this.#milliseconds * (milliseconds < this.#milliseconds ? quantile - 1 : quantile);
 		}
 
-		this.#doubt(isFresh, now);
+		this.#detectShift(isFresh, now);
 	}
 
-	#learn(milliseconds: number): void {
-		this.#samples.push(milliseconds);
-		if (this.#samples.length >= firstSamples) {
-			const sorted = this.#samples.sort((left, right) => left - right);
-			this.#usual = sorted[Math.floor(lowShare * firstSamples)];
-			this.#samples = [];
+	#initialize(milliseconds: number): void {
+		this.#firstSamples.push(milliseconds);
+		if (this.#firstSamples.length >= initialSamples) {
+			const sorted = this.#firstSamples.sort((left, right) => left - right);
+			this.#milliseconds = sorted[Math.floor(quantile * initialSamples)];
+			this.#firstSamples = [];
 		}
 	}
 
-	#doubt(isFresh: boolean, now: number): void {
+	#detectShift(isFresh: boolean, now: number): void {
 		this.#recent.push(isFresh);
-		if (this.#recent.length > doubtSamples) {
+		if (this.#recent.length > windowSamples) {
 			this.#recent.shift();
 		}
 
 		const fresh = this.#recent.filter(Boolean).length;
-		if (this.#recent.length < doubtSamples || fresh >= doubtSamples / 2) {
-			this.#doubtedSince = undefined;
+		if (this.#recent.length < windowSamples || fresh >= windowSamples / 2) {
+			this.#shiftedSince = undefined;
 			return;
 		}
 
-		this.#doubtedSince ??= now;
-		if (now - this.#doubtedSince > doubtMilliseconds) {
-			this.#usual = undefined;
+		this.#shiftedSince ??= now;
+		if (now - this.#shiftedSince > resetMilliseconds) {
+			this.#milliseconds = undefined;
 			this.#recent = [];
-			this.#doubtedSince = undefined;
+			this.#shiftedSince = undefined;
 		}
 	}
 }
--- a/test/features/dispatch/least-laxity.test.ts
+++ b/test/features/dispatch/least-laxity.test.ts
@@ -1,4 +1,4 @@
-/** The order of jobs that wait for room, under a burst that is more than there's room for. */
+/** Order and expiry of waiting jobs under overload. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {JobId} from '../../../src/base/job-id.js';
@@ -9,9 +9,9 @@
 import {anyPlace} from '../../support/any-place.js';
 import {RunningJob} from '../../../src/features/dispatch/running-job.js';
 
-type Begun = {readonly name: string; readonly tasks: number; readonly started: number; readonly expected: number; readonly receivedAt: number; readonly priority?: number};
+type JobOptions = {readonly name: string; readonly tasks: number; readonly started: number; readonly expected: number; readonly receivedAt: number; readonly priority?: number};
 
-function jobOf({name, tasks, started, expected, receivedAt, priority = 0}: Begun): RunningJob {
+function jobOf({name, tasks, started, expected, receivedAt, priority = 0}: JobOptions): RunningJob {
 	const job = new RunningJob({
 		id: name as JobId,
 		route: {
@@ -25,7 +25,7 @@
 	}, {
 		receivedAt,
 		settle() {
-			// Nobody waits for it here.
+			// The verdict is not checked.
 		},
 	}, expected);
 	for (const slot of job.tasks.slice(0, started)) {
@@ -36,7 +36,7 @@
 	return job;
 }
 
-test('what has begun and can be in time comes first, then the nearest objective; what is late comes last unless it is nearly done', () => {
+test('started jobs that can meet their objective come first, then the least laxity; late jobs come last unless nearly done', () => {
 	const now = 1000;
 	const jobs = [
 		jobOf({
@@ -63,7 +63,7 @@
 	assert.deepEqual(sorted.map(({name}) => name), ['short, begun', 'late, nearly done', 'short, fresh, older', 'short, fresh', 'long, fresh', 'late, half done']);
 });
 
-test('a job that has not begun is given up when it would miss its objective, one that has when its answer is of no use', () => {
+test('an unstarted job expires when it would miss its objective, a started one when its answer becomes useless', () => {
 	const fresh = jobOf({
 		name: 'fresh', tasks: 8, started: 0, expected: 100, receivedAt: 0,
 	});
@@ -76,9 +76,8 @@
 	assert.deepEqual([fresh.expiresAt, begun.expiresAt, placed.expiresAt], [120, 560, 5000]);
 });
 
-// A burst of a less urgent queue's jobs came a moment before an urgent one. Without regard to priority the urgent job, which
-// has more time left, would wait behind all of them.
-test('an urgent queue\'s job goes before less urgent ones of the same age, and not before one that has waited long', () => {
+// Guards against an urgent job with more laxity waiting behind a burst from a less urgent queue.
+test('an urgent job precedes less urgent ones of the same age, but not one that has waited long', () => {
 	const now = 1000;
 	const jobs = [
 		jobOf({
