--- a/src/features/jobs/combine-verdicts.ts
+++ b/src/features/jobs/combine-verdicts.ts
@@ -1,17 +1,17 @@
-/** Makes one verdict of those of a job's tasks. */
+/** Combines task verdicts into a job verdict. */
 import type {JobAnswer} from '../../base/job-answer.js';
 import type {TaskAnswer} from '../../base/task-answer.js';
 import type {Verdict} from '../../base/verdict.js';
 import type {JobTask} from './job-task.js';
 
 /**
- * The verdict as soon as it's certain, which it is when all tasks have their results, or when one has none and every
- * doubt about the others is part of the answer: a job is complete, failed, not run at all, or in doubt.
+ * The job's verdict, or undefined while it is undecided. A job is decided once all tasks have results, or once any task has
+ * ended without one.
  */
 export function combineVerdicts(tasks: readonly JobTask[]): Verdict<JobAnswer> | undefined {
-	const bad = tasks.find(task => task.verdict !== undefined && !isResult(task.verdict));
-	if (bad !== undefined) {
-		return concludeBad(tasks, bad);
+	const unsuccessful = tasks.find(task => task.verdict !== undefined && !isResult(task.verdict));
+	if (unsuccessful !== undefined) {
+		return combineUnsuccessful(tasks, unsuccessful);
 	}
 
 	if (tasks.some(task => task.verdict === undefined)) {
@@ -21,22 +21,22 @@
 	return {kind: 'answered', answer: {kind: 'complete', results: tasks.map(task => resultOf(task.verdict!))}};
 }
 
-function concludeBad(tasks: readonly JobTask[], bad: JobTask): Verdict<JobAnswer> {
-	const {verdict} = bad;
+function combineUnsuccessful(tasks: readonly JobTask[], unsuccessful: JobTask): Verdict<JobAnswer> {
+	const {verdict} = unsuccessful;
 	if (verdict?.kind === 'mayHaveRun') {
-		return {...verdict, detail: `task ${bad.index}: ${verdict.detail}`};
+		return {...verdict, detail: `task ${unsuccessful.index}: ${verdict.detail}`};
 	}
 
-	// That a task failed or was refused is known; with it the job has failed, unless nothing of it ever started.
+	// A refused task fails the job, unless none of its tasks has started.
 	if (verdict?.kind === 'notRun') {
 		const hasStarted = tasks.some(task => task.hasStarted);
 		return hasStarted
-			? {kind: 'answered', answer: {kind: 'failed', taskIndex: bad.index, detail: `the task was not run: ${verdict.detail}`}}
-			: {...verdict, detail: `task ${bad.index}: ${verdict.detail}`};
+			? {kind: 'answered', answer: {kind: 'failed', taskIndex: unsuccessful.index, detail: `the task was not run: ${verdict.detail}`}}
+			: {...verdict, detail: `task ${unsuccessful.index}: ${verdict.detail}`};
 	}
 
 	const detail = verdict?.kind === 'answered' && verdict.answer.kind === 'failure' ? verdict.answer.detail : '';
-	return {kind: 'answered', answer: {kind: 'failed', taskIndex: bad.index, detail}};
+	return {kind: 'answered', answer: {kind: 'failed', taskIndex: unsuccessful.index, detail}};
 }
 
 function isResult(verdict: Verdict<TaskAnswer>): boolean {
--- a/src/features/jobs/job-dependencies.ts
+++ b/src/features/jobs/job-dependencies.ts
@@ -1,4 +1,4 @@
-/** What a running job uses. */
+/** Services that a running job uses. */
 import type {Clock} from '../../base/clock.js';
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {Metrics} from '../../runtime/metrics/metrics.js';
@@ -8,7 +8,7 @@
 import type {VariantGuard} from './variant-guard.js';
 import type {ZoneSelector} from './zone-selector.js';
 
-/** Shared by all jobs of an entry. */
+/** Shared by all running jobs of an entry. */
 export type JobDependencies = {
 	readonly clock: Clock;
 	readonly journal: Journal;
--- a/src/features/jobs/job-request.ts
+++ b/src/features/jobs/job-request.ts
@@ -1,13 +1,13 @@
-/** A job as a caller asks for it. */
+/** A caller's request to run a job. */
 import type {ProfileName} from '../../base/profile-name.js';
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {TaskSpecification} from '../../base/task-specification.js';
 
-/** Already checked for its shape. */
+/** A request that has passed schema validation. */
 export type JobRequest = {
 	readonly id: SubmissionId;
 	readonly profile: ProfileName;
 	readonly tasks: readonly TaskSpecification[];
-	/** From the receipt on; the profile's own deadline where absent. */
+	/** In milliseconds from receipt; defaults to the profile's deadline. */
 	readonly deadlineMilliseconds?: number;
 };
--- a/src/features/jobs/job-service.ts
+++ b/src/features/jobs/job-service.ts
@@ -1,4 +1,4 @@
-/** Takes jobs and returns their verdicts. */
+/** Service that runs jobs. */
 import {createHash} from 'node:crypto';
 import {CancellationSource} from '../../base/cancellation-source.js';
 import type {CancellationToken} from '../../base/cancellation-token.js';
@@ -9,16 +9,16 @@
 import type {ProfileRevision} from '../profiles/profile-revision.js';
 import type {SubmissionDesk} from '../submissions/submission-desk.js';
 import type {Job} from './job.js';
-import type {JobRequest} from './job-request.js';
 import type {JobDependencies} from './job-dependencies.js';
+import type {JobRequest} from './job-request.js';
 import {RunningJob} from './running-job.js';
 
-/** 128 bits in base64. */
+/** Length of 128 bits in base64url. */
 const fingerprintCharacters = 22;
 
 type Refusal = Extract<Verdict<never>, {kind: 'notRun'}>;
 
-/** Knows which jobs run at this entry. */
+/** Validates, claims and runs the jobs that are submitted to this entry. */
 export class JobService {
 	readonly #running = new Map<SubmissionId, CancellationSource>();
 	#isDraining = false;
@@ -28,20 +28,21 @@
 	constructor(
 		private readonly profiles: ProfileBook,
 		private readonly submissions: SubmissionDesk,
-		private readonly tools: JobDependencies,
+		private readonly dependencies: JobDependencies,
 	) {}
 
+	/** Number of jobs without a verdict. */
 	get inFlight(): number {
 		return this.#inFlight;
 	}
 
-	/** Runs a job, or finds out what became of it where it was submitted before; never rejects. */
+	/** Runs a job, or returns the verdict of an earlier submission with the same id; never rejects. */
 	async submit(request: JobRequest, token: CancellationToken): Promise<Verdict<JobAnswer>> {
-		const startedAt = this.tools.clock.now();
+		const startedAt = this.dependencies.clock.now();
 		this.#inFlight += 1;
 		const verdict = await this.#submit(request, startedAt, token);
 		this.#inFlight -= 1;
-		this.#describe(request, verdict, this.tools.clock.now() - startedAt);
+		this.#report(request, verdict, this.dependencies.clock.now() - startedAt);
 		if (this.#inFlight === 0) {
 			this.#onIdle?.();
 		}
@@ -49,14 +50,14 @@
 		return verdict;
 	}
 
-	/** Cancels a job that runs here; returns whether it does. */
+	/** Cancels a job; returns whether it was running at this entry. */
 	cancel(id: SubmissionId): boolean {
 		const source = this.#running.get(id);
 		source?.cancel();
 		return source !== undefined;
 	}
 
-	/** Refuses new jobs from now on, and resolves when none is in flight any more. */
+	/** Stops accepting jobs, and resolves when none is in flight. */
 	async drain(): Promise<void> {
 		this.#isDraining = true;
 		if (this.#inFlight === 0) {
@@ -118,19 +119,19 @@
 			source.cancel();
 		});
 		this.#running.set(job.id, source);
-		const verdict = await new RunningJob(job, this.tools).run(source.token);
+		const verdict = await new RunningJob(job, this.dependencies).run(source.token);
 		this.#running.delete(job.id);
 		registration.dispose();
 		this.submissions.settle(job.id, claim.nonce, verdict);
 		return verdict;
 	}
 
-	#describe(request: JobRequest, verdict: Verdict<JobAnswer>, elapsed: number): void {
+	#report(request: JobRequest, verdict: Verdict<JobAnswer>, elapsed: number): void {
 		const cause = verdict.kind === 'answered' ? verdict.answer.kind : verdict.cause;
-		this.tools.journal.record('jobConcluded', {
+		this.dependencies.journal.record('jobConcluded', {
 			job: request.id, profile: request.profile, tasks: request.tasks.length, verdict: verdict.kind, cause, milliseconds: Math.round(elapsed),
 		});
-		this.tools.metrics.timing('job', elapsed, {verdict: verdict.kind, profile: request.profile});
+		this.dependencies.metrics.timing('job', elapsed, {verdict: verdict.kind, profile: request.profile});
 	}
 }
 
--- a/src/features/jobs/job-task.ts
+++ b/src/features/jobs/job-task.ts
@@ -1,4 +1,4 @@
-/** One task of a running job. */
+/** State of one task of a running job. */
 import type {Disposable} from '../../base/disposable.js';
 import type {InstanceId} from '../../base/instance-id.js';
 import type {TaskAnswer} from '../../base/task-answer.js';
@@ -7,18 +7,19 @@
 import type {TicketId} from '../../base/ticket-id.js';
 import type {Verdict} from '../../base/verdict.js';
 
-/** The task's state; `verdict` is there once it has ended, and only then. */
+/** `verdict` is set once the task has ended. */
 export type JobTask = {
 	readonly index: number;
 	readonly id: TaskId;
 	readonly specification: TaskSpecification;
-	/** The number of the present try, from 0. */
+	/** Number of the current attempt, from 0. */
 	attempt: number;
 	ticket: TicketId;
-	/** True from the moment that the task may reach a target, in this try or an earlier one that wasn't refused. */
+	/** Whether the task may have reached a target, in this attempt or in an earlier one that was not refused. */
 	hasStarted: boolean;
 	/** Targets that refused the task. */
 	readonly excluded: InstanceId[];
+	/** Cancels the current run when disposed of. */
 	stop: Disposable | undefined;
 	verdict: Verdict<TaskAnswer> | undefined;
 };
--- a/src/features/jobs/job.ts
+++ b/src/features/jobs/job.ts
@@ -1,13 +1,13 @@
-/** A job that an entry runs. */
+/** A validated job. */
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {TaskSpecification} from '../../base/task-specification.js';
 import type {ProfileRevision} from '../profiles/profile-revision.js';
 
-/** Treated from start to end by the profile revision that was in force when it came. */
+/** Uses the profile revision that was current at receipt until it ends. */
 export type Job = {
 	readonly id: SubmissionId;
 	readonly revision: ProfileRevision;
 	readonly tasks: readonly TaskSpecification[];
-	/** Monotonic milliseconds. */
+	/** Monotonic time in milliseconds. */
 	readonly deadlineAt: number;
 };
--- a/src/features/jobs/retry-budget.ts
+++ b/src/features/jobs/retry-budget.ts
@@ -1,17 +1,18 @@
-/** A limit on new tries. */
+/** Limits retries. */
 
-const retriesPerFreshTask = 0.1;
-const capacity = 50;
+const tokensPerStart = 0.1;
+const maximumTokens = 50;
 
-/** Allows retries as a share of the fresh traffic, so that they can't multiply a failure's load. */
+/** Token bucket that allows retries as a share of started tasks, so that retries can't amplify load during a failure. */
 export class RetryBudget {
-	#tokens = capacity;
+	#tokens = maximumTokens;
 
+	/** Adds the tokens earned by a started task. */
 	recordStart(): void {
-		this.#tokens = Math.min(capacity, this.#tokens + retriesPerFreshTask);
+		this.#tokens = Math.min(maximumTokens, this.#tokens + tokensPerStart);
 	}
 
-	/** Takes one retry, if there is one left. */
+	/** Takes a token for one retry; returns false if none is available. */
 	tryTake(): boolean {
 		if (this.#tokens < 1) {
 			return false;
--- a/src/features/jobs/variant-guard.ts
+++ b/src/features/jobs/variant-guard.ts
@@ -1,26 +1,26 @@
-/** Trials of new behaviour on live traffic. */
+/** Canary trials of profile variants. */
 import {hashText} from '../../base/hash-text.js';
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {ProfileRevision} from '../profiles/profile-revision.js';
 
 const hashRange = 0x1_00_00_00_00;
-/** Weight of the newest task in the moving averages. */
+/** Weight of the newest task in the exponential moving averages. */
 const smoothing = 0.05;
 
 type Arm = {tasks: number; failureShare: number; runMilliseconds: number};
 type Trial = {readonly base: Arm; readonly variant: Arm; isStopped: boolean};
 
 /**
- * Sends a share of the submissions to the variant, the same ones each time, and stops the trial when the variant does
- * worse than the profile's guard allows. Each entry decides on its own, for one revision of a profile.
+ * Routes a fixed, hash-based share of submissions to the variant, and stops the trial when the variant exceeds the limits of
+ * the profile's guard. Each entry decides independently, for each profile revision.
  */
 export class VariantGuard {
 	readonly #trials = new Map<string, Trial>();
 
 	constructor(private readonly journal: Journal) {}
 
-	/** The label of the targets that the submission's tasks go to, where it takes part in a trial. */
+	/** The label of the variant's targets if the submission takes part in a trial. */
 	labelFor(revision: ProfileRevision, id: SubmissionId): string | undefined {
 		const {variant, name} = revision.profile;
 		if (variant === undefined || this.#trialOf(revision).isStopped) {
@@ -30,23 +30,23 @@
 		return hashText(`${name}|${id}`) / hashRange < variant.share ? variant.label : undefined;
 	}
 
-	/** Takes the end of a task of a profile that has a variant. */
-	recordTask(revision: ProfileRevision, isVariant: boolean, isGood: boolean, runMilliseconds: number): void {
+	/** Records the outcome of a task and stops the trial if needed; ignored for profiles without a variant. */
+	recordTask(revision: ProfileRevision, isVariant: boolean, isSuccessful: boolean, runMilliseconds: number): void {
 		if (revision.profile.variant === undefined) {
 			return;
 		}
 
 		const trial = this.#trialOf(revision);
 		const arm = isVariant ? trial.variant : trial.base;
-		// The first samples weigh more, so that the averages don't start out from nothing.
+		// The first samples have a higher weight, so that the averages are not biased towards zero.
 		const weight = Math.max(smoothing, 1 / (arm.tasks + 1));
 		arm.tasks += 1;
-		arm.failureShare += weight * ((isGood ? 0 : 1) - arm.failureShare);
-		arm.runMilliseconds += isGood ? weight * (runMilliseconds - arm.runMilliseconds) : 0;
-		this.#judge(revision, trial);
+		arm.failureShare += weight * ((isSuccessful ? 0 : 1) - arm.failureShare);
+		arm.runMilliseconds += isSuccessful ? weight * (runMilliseconds - arm.runMilliseconds) : 0;
+		this.#evaluate(revision, trial);
 	}
 
-	#judge(revision: ProfileRevision, trial: Trial): void {
+	#evaluate(revision: ProfileRevision, trial: Trial): void {
 		const {base, variant} = trial;
 		const {guard, label} = revision.profile.variant!;
 		if (trial.isStopped || variant.tasks < guard.minimumTasks) {
--- a/src/features/jobs/zone-selector.ts
+++ b/src/features/jobs/zone-selector.ts
@@ -1,14 +1,14 @@
-/** Where a job goes that its own zone won't take. */
+/** Selects the zone of a job. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
 import type {Random} from '../../base/random.js';
 
-/** A zone that refused a job isn't asked by another job for so long. */
-const refusalMemoryMilliseconds = 1000;
+/** How long a zone is skipped after it refused a job. */
+const refusalBackoffMilliseconds = 1000;
 
 /**
- * Work stays in its own zone unless that zone refuses it for want of slots or targets. Then one other zone is asked,
- * unless it lately refused as well: when all are full, asking around would only add messages.
+ * Prefers the local zone. If that zone refuses a job, one other zone is tried, except zones with a recent refusal: under
+ * global overload further requests would only add traffic.
  */
 export class ZoneSelector {
 	readonly #refusedAt = new Map<AvailabilityZone, number>();
@@ -20,18 +20,19 @@
 		private readonly random: Random,
 	) {}
 
+	/** Excludes the zone for a while as a fallback. */
 	recordRefusal(zone: AvailabilityZone): void {
 		this.#refusedAt.set(zone, this.clock.now());
 	}
 
-	/** A zone that wasn't tried yet for the job at hand. */
+	/** The next zone to try, or undefined if none is left. */
 	next(tried: ReadonlySet<AvailabilityZone>): AvailabilityZone | undefined {
 		if (!tried.has(this.own)) {
 			return this.own;
 		}
 
 		const now = this.clock.now();
-		const open = this.zones.filter(zone => !tried.has(zone) && now - (this.#refusedAt.get(zone) ?? Number.NEGATIVE_INFINITY) > refusalMemoryMilliseconds);
-		return this.random.sample(open, 1)[0];
+		const candidates = this.zones.filter(zone => !tried.has(zone) && now - (this.#refusedAt.get(zone) ?? Number.NEGATIVE_INFINITY) > refusalBackoffMilliseconds);
+		return this.random.sample(candidates, 1)[0];
 	}
 }
--- a/test/features/jobs/running-job.test.ts
+++ b/test/features/jobs/running-job.test.ts
@@ -1,4 +1,4 @@
-/** One job against fake slots and targets. */
+/** Execution of a job with fake slots and targets. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {setImmediate as turn} from 'node:timers/promises';
@@ -39,9 +39,7 @@
 	matchSnapshot('complete job', await verdict);
 });
 
-test('a failing third task fails the job, and nothing of the others is delivered', async () => {
-	// A guide submits three seat checks; two answer, then the third fails.
-	// The caller must not get two of three answers and sell by them.
+test('a failed task fails the job, and no partial results are returned', async () => {
 	const {driver, verdict} = jobOf(3);
 	driver.succeed(0, 'first');
 	driver.succeed(1, 'second');
@@ -49,7 +47,7 @@
 	matchSnapshot('third task fails', await verdict);
 });
 
-test('a failed job stops at once what still runs', async () => {
+test('a failed job stops its running tasks immediately', async () => {
 	const {driver, slots, verdict} = jobOf(3);
 	driver.fail(1);
 	matchSnapshot('stops the rest', await verdict);
@@ -57,9 +55,8 @@
 	assert.deepEqual(slots.released.map(release => release.outcome), ['failure', 'unused', 'unused']);
 });
 
-test('a target that dies in the middle of a task leaves a doubt, and no second start', async () => {
-	// A pilot waits for a loading sheet; the worker dies after it began to compute it.
-	// The connection breaks: the entry can't know whether the work was done, and starting it again could do it twice.
+test('a task whose target dies is reported as possibly run and is not restarted', async () => {
+	// Guards against running a task twice when the connection breaks after the start.
 	const {driver, slots, verdict} = jobOf(1);
 	driver.lose(0);
 	matchSnapshot('target dies', await verdict);
@@ -67,7 +64,7 @@
 	assert.deepEqual(slots.released, [{ticket: 'job/0:0', outcome: 'lost'}]);
 });
 
-test('a task that a target refused is tried on another one', async () => {
+test('a task that a target refused is retried on another one', async () => {
 	const {driver, slots, verdict} = jobOf(1);
 	driver.refuse(0);
 	await turn();
@@ -76,7 +73,7 @@
 	assert.deepEqual(slots.asked[1]!.task.excluded, ['target-1']);
 });
 
-test('retries end with the profile\'s number, and the job was truly not run', async () => {
+test('retries stop at the limit of the profile, and the job is reported as not run', async () => {
 	const {driver, verdict} = jobOf(1, {retries: 1});
 	driver.refuse(0);
 	await turn();
@@ -85,7 +82,7 @@
 	assert.equal(driver.starts.length, 2);
 });
 
-test('a refused task of a job that has begun fails the job: it is never called not run', async () => {
+test('a refused task of a started job fails the job, which is not reported as not run', async () => {
 	const {driver, verdict} = jobOf(2, {retries: 0});
 	driver.succeed(0, 'first');
 	await turn();
@@ -93,7 +90,7 @@
 	matchSnapshot('begun and refused', await verdict);
 });
 
-test('a job that its zone refuses goes to one other zone, then is refused', async () => {
+test('a job that its zone refuses is tried in one other zone, then refused', async () => {
 	const {slots, verdict} = jobOf(2, {}, false);
 	const refusal = {cause: 'deadlineUnreachable', detail: 'too late', retryAfterMilliseconds: 700} as const;
 	slots.refuse(slots.asked[0]!.task.ticket, refusal);
@@ -102,14 +99,14 @@
 	matchSnapshot('refused by both zones', await verdict);
 });
 
-test('cancelling a waiting job sends nothing to any target', async () => {
+test('cancelling a waiting job starts none of its tasks', async () => {
 	const {slots, driver, source, verdict} = jobOf(2, {}, false);
 	source.cancel();
 	matchSnapshot('cancelled while waiting', await verdict);
 	assert.deepEqual([driver.starts.length, slots.withdrawn.length], [0, 2]);
 });
 
-test('cancelling a running job stops it at the target, and the caller learns that it was running', async () => {
+test('cancelling a running job stops it at the target and reports that it may have run', async () => {
 	const {slots, source, verdict} = jobOf(1);
 	source.cancel();
 	matchSnapshot('cancelled while running', await verdict);
@@ -117,7 +114,7 @@
 	assert.deepEqual(slots.released, [{ticket: 'job/0:0', outcome: 'unused'}]);
 });
 
-test('a slot that comes after the job has ended is given back unused', async () => {
+test('a slot granted after the job has ended is released unused', async () => {
 	const {slots, driver, source, verdict} = jobOf(1, {}, false);
 	const {listener, task} = slots.asked[0]!;
 	source.cancel();
@@ -127,9 +124,8 @@
 	assert.deepEqual(slots.released, [{ticket: 'job/0:0', outcome: 'unused'}]);
 });
 
-test('an entry that was paused past the deadline does not start what it is granted then', async () => {
-	// The entry asks for a slot, is stopped for six seconds, and finds the grant when it wakes.
-	// The caller has been told that the deadline passed, or will be: a start now would contradict it.
+test('a task is not started if its slot is found after a pause past the deadline', async () => {
+	// Guards against starting a task whose caller is told that the deadline has passed.
 	const {clock, slots, driver, verdict} = jobOf(1, {}, false);
 	clock.sleep(6000);
 	slots.grant(slots.asked[0]!.task.ticket);
@@ -137,8 +133,7 @@
 	assert.equal(driver.starts.length, 0);
 });
 
-test('what a variant refuses goes to the base, and starts once', async () => {
-	// A trial sends the submission to a canary that refuses it: the customer must not pay for the trial.
+test('a job that the variant refuses runs once on the base targets', async () => {
 	const {slots, driver, verdict} = jobOf(1, {variant: {label: 'canary', share: 1}}, false);
 	const first = slots.asked[0]!.task;
 	assert.deepEqual(first.labels, ['canary']);
