--- a/src/features/intake/api-server.ts
+++ b/src/features/intake/api-server.ts
@@ -1,8 +1,8 @@
-/** The HTTP interface of an entry. */
+/** HTTP API of an entry. */
 import {serve, type ServerType} from '@hono/node-server';
 import {Hono} from 'hono';
 import {bodyLimit} from 'hono/body-limit';
-import {v7 as makeTimedId} from 'uuid';
+import {v7 as createId} from 'uuid';
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import {CancellationSource} from '../../base/cancellation-source.js';
 import type {Disposable} from '../../base/disposable.js';
@@ -17,7 +17,7 @@
 import type {StatusReport} from './status-report.js';
 import {submissionIdOf} from './submission-id-of.js';
 
-/** Where an entry listens, and what it lets in. */
+/** Listening address and request limits. */
 type ServerOptions = {
 	readonly zone: AvailabilityZone;
 	readonly address: string;
@@ -25,26 +25,26 @@
 	readonly bodyBytes: number;
 	readonly maximumDeadlineMilliseconds: number;
 };
-/** What an entry tells of itself. */
+/** Sources of the health and status endpoints. */
 type ServerState = {readonly readiness: Readiness; readonly status: StatusReport};
 type Refusal = Extract<Verdict<JobAnswer>, {kind: 'notRun'}>;
 
-/** Owns the HTTP server; see docs/INTERFACES.md for what it speaks. */
+/** Owns the HTTP server; the API is described in docs/INTERFACES.md. */
 export class ApiServer implements Disposable {
 	#server: ServerType | undefined;
 
 	constructor(
-		private readonly limits: ServerOptions,
+		private readonly options: ServerOptions,
 		private readonly jobs: JobService,
 		private readonly submissions: SubmissionDesk,
 		private readonly state: ServerState,
 	) {}
 
-	/** Listens and returns the port. */
+	/** Starts listening and returns the port; rejects if the address is unavailable. */
 	async listen(): Promise<number> {
-		const {address, port} = this.limits;
+		const {address, port} = this.options;
 		return new Promise((resolve, reject) => {
-			const server = serve({fetch: this.#routes().fetch, hostname: address, port}, info => {
+			const server = serve({fetch: this.#createRoutes().fetch, hostname: address, port}, info => {
 				resolve(info.port);
 			});
 			server.once('error', reject);
@@ -52,7 +52,7 @@
 		});
 	}
 
-	/** Takes no new connections; those that are open end with their requests. */
+	/** Stops accepting connections, closes idle ones, and resolves when pending requests are done. */
 	async close(): Promise<void> {
 		await new Promise<void>(resolve => {
 			if (this.#server === undefined) {
@@ -76,11 +76,11 @@
 		}
 	}
 
-	#routes(): Hono {
+	#createRoutes(): Hono {
 		const routes = new Hono();
-		const maxSize = this.limits.bodyBytes;
-		const refuseLarge = () => responseOf(undefined, refusal('bodyTooLarge', `the body may have ${maxSize} bytes`));
-		routes.post('/v1/jobs', bodyLimit({maxSize, onError: refuseLarge}), async context => this.#submit(context.req.raw));
+		const maxSize = this.options.bodyBytes;
+		const rejectOversized = () => responseOf(undefined, refusal('bodyTooLarge', `the body may have ${maxSize} bytes`));
+		routes.post('/v1/jobs', bodyLimit({maxSize, onError: rejectOversized}), async context => this.#submit(context.req.raw));
 		routes.delete('/v1/jobs/:id', context => this.#cancel(context.req.param('id')));
 		routes.get('/health', context => context.json({status: 'alive'}));
 		routes.get('/ready', context => {
@@ -88,20 +88,20 @@
 			return missing.length === 0 ? context.json({status: 'ready'}) : context.json({status: 'not ready', missing}, 503);
 		});
 		routes.get('/v1/status', context => context.json(this.state.status.read()));
-		routes.notFound(() => responseOf(undefined, {...refusal('invalidRequest', 'no such resource')}));
+		routes.notFound(() => responseOf(undefined, refusal('invalidRequest', 'no such resource')));
 		routes.onError(error => responseOf(undefined, refusal('invalidRequest', `the request can't be read: ${error.message}`)));
 		return routes;
 	}
 
 	async #submit(request: Request): Promise<Response> {
 		const header = request.headers.get('idempotency-key');
-		// An id that's made here names this zone as its home: it's served also while the zone is cut off.
-		const id = header === null ? `${this.limits.zone}~${makeTimedId()}` as SubmissionId : submissionIdOf(header);
+		// A generated id has this zone as its home, so that the job can run while the zone is partitioned.
+		const id = header === null ? `${this.options.zone}~${createId()}` as SubmissionId : submissionIdOf(header);
 		if (id === undefined) {
 			return responseOf(undefined, refusal('invalidRequest', 'Idempotency-Key: letters, digits, ".", "_", "-", 128 at most; a zone\'s name and "~" may stand before'));
 		}
 
-		const body = await this.#bodyOf(request);
+		const body = await this.#parseBody(request);
 		if (body.kind === 'notRun') {
 			return responseOf(id, body);
 		}
@@ -110,7 +110,7 @@
 		return responseOf(id, await this.jobs.submit({id, ...body.job}, token));
 	}
 
-	async #bodyOf(request: Request): Promise<Refusal | {readonly kind: 'job'; readonly job: ReturnType<typeof jobBodySchema.parse>}> {
+	async #parseBody(request: Request): Promise<Refusal | {readonly kind: 'job'; readonly job: ReturnType<typeof jobBodySchema.parse>}> {
 		let raw: unknown;
 		try {
 			raw = await request.json();
@@ -124,8 +124,8 @@
 			return refusal('invalidRequest', `${['body', ...issue?.path ?? []].join('.')}: ${issue?.message}`);
 		}
 
-		if ((checked.data.deadlineMilliseconds ?? 0) > this.limits.maximumDeadlineMilliseconds) {
-			return refusal('invalidRequest', `deadlineMilliseconds: ${this.limits.maximumDeadlineMilliseconds} at most`);
+		if ((checked.data.deadlineMilliseconds ?? 0) > this.options.maximumDeadlineMilliseconds) {
+			return refusal('invalidRequest', `deadlineMilliseconds: ${this.options.maximumDeadlineMilliseconds} at most`);
 		}
 
 		return {kind: 'job', job: checked.data};
--- a/src/features/intake/job-body-schema.ts
+++ b/src/features/intake/job-body-schema.ts
@@ -1,20 +1,19 @@
-/** The body of a job's submission. */
+/** Schema of job submissions. */
 import * as z from 'zod';
 import {jsonValueSchema} from '../../base/json-value-schema.js';
 import type {ProfileName} from '../../base/profile-name.js';
 
-/** The largest job that callers may submit. */
-const tasksPerJob = 200;
-const declaredMillisecondsLimit = 3_600_000;
+const maximumTasksPerJob = 200;
+const maximumDeclaredMilliseconds = 3_600_000;
 
-/** See docs/INTERFACES.md; unknown keys are errors, since a mistyped limit would silently not hold. */
+/** Described in docs/INTERFACES.md. Rejects unknown keys, since a misspelled limit would otherwise be ignored. */
 export const jobBodySchema = z.strictObject({
 	profile: z.string().min(1).max(64).transform(name => name as ProfileName),
 	deadlineMilliseconds: z.int().min(1).optional(),
 	tasks: z.array(z.strictObject({
 		payload: jsonValueSchema,
-		declaredMilliseconds: z.number().min(0).max(declaredMillisecondsLimit).optional(),
+		declaredMilliseconds: z.number().min(0).max(maximumDeclaredMilliseconds).optional(),
 		memoryMegabytes: z.number().min(0).optional(),
 		accelerators: z.int().min(0).optional(),
-	})).min(1).max(tasksPerJob),
+	})).min(1).max(maximumTasksPerJob),
 });
--- a/src/features/intake/readiness-key.ts
+++ b/src/features/intake/readiness-key.ts
@@ -1,6 +1,6 @@
-/** The container's name for the readiness. */
+/** Service key of the readiness check. */
 import {ServiceKey} from '../../runtime/kernel/service-key.js';
 import type {Readiness} from './readiness.js';
 
-/** Provided by the wiring module, since several features have a condition. */
+/** Registered by the wiring module, since several features add conditions. */
 export const readinessKey = new ServiceKey<Readiness>('readiness');
--- a/src/features/intake/readiness.ts
+++ b/src/features/intake/readiness.ts
@@ -1,6 +1,6 @@
-/** Whether the balancer should send callers here. */
+/** Readiness check for load balancers. */
 
-/** Each named condition must hold. */
+/** An entry is ready when all registered conditions hold. */
 export class Readiness {
 	readonly #conditions = new Map<string, () => boolean>();
 
@@ -8,7 +8,7 @@
 		this.#conditions.set(name, condition);
 	}
 
-	/** Names of the conditions that don't hold. */
+	/** Names of the conditions that do not hold. */
 	get missing(): readonly string[] {
 		return [...this.#conditions].filter(([, condition]) => !condition()).map(([name]) => name);
 	}
--- a/src/features/intake/response-of.ts
+++ b/src/features/intake/response-of.ts
@@ -1,18 +1,18 @@
-/** Makes HTTP responses of verdicts. */
+/** Maps verdicts to HTTP responses. */
 import {match} from 'ts-pattern';
 import type {JobAnswer} from '../../base/job-answer.js';
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {Verdict} from '../../base/verdict.js';
 import {statusOf} from './status-of.js';
 
-const verdictWords = {answered: 'answered', notRun: 'not-run', mayHaveRun: 'may-have-run'};
-/** After a doubt that another copy of the request may clear up later. */
-const doubtRetryAfterSeconds = 2;
-const clearableDoubts: ReadonlySet<string> = new Set(['homeUnreachable', 'cannotVouch', 'waitExpired']);
+const verdictLabels = {answered: 'answered', notRun: 'not-run', mayHaveRun: 'may-have-run'};
+/** Retry delay for causes after which a retry with the same id may return the verdict. */
+const uncertainRetryAfterSeconds = 2;
+const retryableCauses: ReadonlySet<string> = new Set(['homeUnreachable', 'cannotVouch', 'waitExpired']);
 
-/** The whole answer with its length, or a problem (RFC 9457) that says whether the job may have run. */
+/** The results as JSON, or problem details (RFC 9457) that state whether the job may have run. */
 export function responseOf(id: SubmissionId | undefined, verdict: Verdict<JobAnswer>): Response {
-	const headers = new Headers({'savorylock-verdict': verdictWords[verdict.kind]});
+	const headers = new Headers({'savorylock-verdict': verdictLabels[verdict.kind]});
 	const retryAfter = retryAfterSeconds(verdict);
 	if (retryAfter !== undefined) {
 		headers.set('retry-after', String(retryAfter));
@@ -34,24 +34,24 @@
 }
 
 function problemOf(id: SubmissionId | undefined, verdict: Verdict<JobAnswer>, status: number) {
-	const common = {id, status, verdict: verdictWords[verdict.kind]};
+	const common = {id, status, verdict: verdictLabels[verdict.kind]};
 	return match(verdict)
 		.with({kind: 'answered', answer: {kind: 'failed'}}, ({answer}) => ({
 			type: 'urn:savorylock:problem:task-failed', title: 'A task of the job failed', ...common, detail: answer.detail, taskIndex: answer.taskIndex,
 		}))
 		.with({kind: 'answered'}, () => ({type: 'about:blank', title: 'Answered', ...common}))
 		.with({kind: 'notRun'}, ({cause, detail}) => ({
-			type: `urn:savorylock:problem:${kebab(cause)}`, title: 'The job was not run', ...common, detail,
+			type: `urn:savorylock:problem:${toKebabCase(cause)}`, title: 'The job was not run', ...common, detail,
 		}))
 		.with({kind: 'mayHaveRun'}, ({cause, detail}) => ({
-			type: `urn:savorylock:problem:${kebab(cause)}`, title: 'The job may have run', ...common, detail,
+			type: `urn:savorylock:problem:${toKebabCase(cause)}`, title: 'The job may have run', ...common, detail,
 		}))
 		.exhaustive();
 }
 
 function retryAfterSeconds(verdict: Verdict<JobAnswer>): number | undefined {
 	if (verdict.kind === 'mayHaveRun') {
-		return clearableDoubts.has(verdict.cause) ? doubtRetryAfterSeconds : undefined;
+		return retryableCauses.has(verdict.cause) ? uncertainRetryAfterSeconds : undefined;
 	}
 
 	if (verdict.kind !== 'notRun' || verdict.retryAfterMilliseconds === undefined) {
@@ -61,6 +61,6 @@
 	return Math.max(1, Math.ceil(verdict.retryAfterMilliseconds / 1000));
 }
 
-function kebab(cause: string): string {
+function toKebabCase(cause: string): string {
 	return cause.replaceAll(/[A-Z]/gv, letter => `-${letter.toLowerCase()}`);
 }
--- a/src/features/intake/status-of.ts
+++ b/src/features/intake/status-of.ts
@@ -1,4 +1,4 @@
-/** HTTP status codes of verdicts. */
+/** Maps verdicts to HTTP status codes. */
 import {match} from 'ts-pattern';
 import type {JobAnswer} from '../../base/job-answer.js';
 import type {RefusalCause} from '../../base/refusal-cause.js';
@@ -22,7 +22,7 @@
 	registryUnavailable: 503,
 };
 
-/** 200 complete, 502 failed, 504 in doubt; a refusal has the status of its cause. */
+/** 200 for complete, 502 for failed, 504 for possibly run; refusals map by cause. */
 export function statusOf(verdict: Verdict<JobAnswer>) {
 	return match(verdict)
 		.with({kind: 'answered', answer: {kind: 'complete'}}, () => 200 as const)
--- a/src/features/intake/status-report.ts
+++ b/src/features/intake/status-report.ts
@@ -1,6 +1,6 @@
-/** What features tell of their state. */
+/** Status report of an entry. */
 
-/** Sections of the status by the name of the feature; each makes its section anew when asked. */
+/** Holds one section per feature; sections are evaluated on each read. */
 export class StatusReport {
 	readonly #sections = new Map<string, () => unknown>();
 
--- a/test/features/intake/api-server.test.ts
+++ b/test/features/intake/api-server.test.ts
@@ -1,4 +1,4 @@
-/** The callers' interface: what a mistaken request gets. */
+/** HTTP responses to valid and invalid requests. */
 import assert from 'node:assert/strict';
 import {after, before, test} from 'node:test';
 import type {AvailabilityZone} from '../../../src/base/availability-zone.js';
@@ -41,7 +41,7 @@
 const readiness = new Readiness();
 const submissions = new OpenSubmissionDesk();
 const jobs = new JobService(book, submissions, jobToolsOf(new FakeClock(), new FakeSlotDesk(true), driver));
-const intake = new ApiServer(
+const server = new ApiServer(
 	{
 		zone: 'zone-1' as AvailabilityZone, address: '127.0.0.1', port: 0, bodyBytes: 4096, maximumDeadlineMilliseconds: 60_000,
 	},
@@ -52,10 +52,10 @@
 let url = '';
 
 before(async () => {
-	url = `http://127.0.0.1:${await intake.listen()}`;
+	url = `http://127.0.0.1:${await server.listen()}`;
 });
 after(() => {
-	intake.dispose();
+	server.dispose();
 });
 
 async function submit(body: string, headers: Record<string, string> = {}): Promise<unknown> {
@@ -75,7 +75,7 @@
 	return JSON.stringify({profile: 'flight-desk', tasks: [{payload: 'seat 4'}], ...keys});
 }
 
-test('mistaken requests get a clear 4xx that says that nothing ran', async () => {
+test('invalid requests get a 4xx status and are reported as not run', async () => {
 	const cases = {
 		'malformed JSON': '{"profile": "flight-desk", "tasks": [',
 		'no object': '[]',
@@ -97,12 +97,12 @@
 	assert.equal(driver.starts.length, 0);
 });
 
-test('an id that is none is refused', async () => {
+test('an invalid id is refused', async () => {
 	matchSnapshot('bad id', await submit(jobOf({}), {'idempotency-key': '"../other"'}));
 	assert.equal(driver.starts.length, 0);
 });
 
-test('a complete answer comes whole, with its length', async () => {
+test('a complete answer has a Content-Length header', async () => {
 	const answer = submit(jobOf({}));
 	while (driver.starts.length === 0) {
 		await new Promise(resolve => {
@@ -114,13 +114,13 @@
 	matchSnapshot('complete', await answer);
 });
 
-test('an entry without configuration refuses truthfully', async () => {
+test('an entry without configuration refuses jobs as not run', async () => {
 	book.isLoaded = false;
 	matchSnapshot('no configuration', await submit(jobOf({})));
 	book.isLoaded = true;
 });
 
-test('readiness names what is missing', async () => {
+test('readiness lists unmet conditions', async () => {
 	readiness.add('configuration', () => false);
 	const response = await fetch(`${url}/ready`);
 	assert.deepEqual([response.status, await response.json()], [503, {status: 'not ready', missing: ['configuration']}]);
