--- a/src/features/routing/queue-route.ts
+++ b/src/features/routing/queue-route.ts
@@ -1,18 +1,18 @@
-/** A route of the configuration. */
+/** Route from a host and path prefix to a queue. */
 import type {ProfileName} from '../../base/profile-name.js';
 import type {ServiceName} from '../../base/service-name.js';
 
-/** Jobs whose host matches and whose path begins with the prefix belong to this queue; the longest prefix wins. */
+/** Jobs with a matching host and path prefix belong to the queue; the longest matching prefix wins. */
 export type QueueRoute = {
 	readonly queue: ProfileName;
 	readonly host: string;
 	readonly pathPrefix: string;
 	readonly service: ServiceName;
-	/** 0 comes first. */
+	/** 0 is the highest priority. */
 	readonly priority: number;
-	/** So many failed runs of a task end its job. */
+	/** Failed runs of one task after which its job fails. */
 	readonly attempts: number;
-	/** A job's objective is this many times its longest chain of work, and `slackMilliseconds` more. */
+	/** A job's objective is `stretch` times its critical path, plus `slackMilliseconds`. */
 	readonly stretch: number;
 	readonly slackMilliseconds: number;
 };
--- a/src/features/routing/routing-configuration.ts
+++ b/src/features/routing/routing-configuration.ts
@@ -1,7 +1,7 @@
-/** The operators' configuration of queues. */
+/** Routing configuration published by operators. */
 import type {QueueRoute} from './queue-route.js';
 
-/** One whole version; a higher one replaces it. */
+/** A complete version of the configuration; higher versions replace lower ones. */
 export type RoutingConfiguration = {
 	readonly version: number;
 	readonly routes: readonly QueueRoute[];
--- a/src/features/routing/routing-table.ts
+++ b/src/features/routing/routing-table.ts
@@ -1,4 +1,4 @@
-/** The configuration in force at this entry. */
+/** Routing table of an entry. */
 import type {Clock} from '../../base/clock.js';
 import {Emitter} from '../../base/emitter.js';
 import type {ServiceName} from '../../base/service-name.js';
@@ -6,28 +6,28 @@
 import type {QueueRoute} from './queue-route.js';
 import type {RoutingConfiguration} from './routing-configuration.js';
 
-/** What a request's host and path lead to. */
+/** Result of a route lookup. */
 type Resolution = {readonly kind: 'found'; readonly route: QueueRoute} | {readonly kind: 'unknown' | 'uncertain'};
-/** Where a version came from. */
-type Source = 'store' | 'peer';
+/** Origin of a configuration version. */
+type ConfigurationSource = 'store' | 'peer';
 
 /**
- * Keeps the highest version that any source offered: sources may be behind, and answers may overtake each other, so that
- * the order of arrival says nothing. It never goes back within a life of the process.
+ * Applies the highest version received from any source. Sources may be stale and responses may arrive out of order, so lower
+ * versions are ignored for the lifetime of the process.
  */
 export class RoutingTable {
 	#configuration: RoutingConfiguration | undefined;
 	#byHost = new Map<string, readonly QueueRoute[]>();
 	#confirmedAt = Number.NEGATIVE_INFINITY;
-	#distrustedAt = Number.NEGATIVE_INFINITY;
+	#invalidatedAt = Number.NEGATIVE_INFINITY;
 	readonly #services = new Set<ServiceName>();
-	readonly #change = new Emitter<RoutingConfiguration>();
+	readonly #changeEmitter = new Emitter<RoutingConfiguration>();
 
-	/** `freshMilliseconds`: under the time within which a change has to be in force. */
-	constructor(private readonly freshMilliseconds: number, private readonly clock: Clock, private readonly journal: Journal) {}
+	/** `maximumAgeMilliseconds`: how long a confirmation stays valid; must be below the time in which changes have to take effect. */
+	constructor(private readonly maximumAgeMilliseconds: number, private readonly clock: Clock, private readonly journal: Journal) {}
 
 	get onDidChange() {
-		return this.#change.event;
+		return this.#changeEmitter.event;
 	}
 
 	get configuration(): RoutingConfiguration | undefined {
@@ -39,15 +39,15 @@
 	}
 
 	/**
-	 * All services that any version here has named; nothing before the first version. A service without a queue stays: jobs that
-	 * were taken before its last queue went still run there.
+	 * Services of all versions applied so far; undefined before the first one. Services without a queue are kept, since
+	 * accepted jobs may still run there.
 	 */
 	get services(): ReadonlySet<ServiceName> | undefined {
 		return this.#configuration === undefined ? undefined : this.#services;
 	}
 
-	/** Takes a version if it's newer than the one in force. */
-	update(configuration: RoutingConfiguration, source: Source): void {
+	/** Applies a version if it is newer than the current one. */
+	update(configuration: RoutingConfiguration, source: ConfigurationSource): void {
 		if (configuration.version <= this.version) {
 			return;
 		}
@@ -61,30 +61,33 @@
 			this.#services.add(service);
 		}
 
-		this.#change.fire(configuration);
+		this.#changeEmitter.fire(configuration);
 	}
 
-	/** The store answered a read that was sent at a monotonic time: nothing newer was there at the second one, or then. */
+	/**
+	 * Records that the store had no newer version at `knownAt`, according to a read sent at `readAt`; both are monotonic times
+	 * in milliseconds.
+	 */
 	confirm(readAt: number, knownAt = readAt): void {
-		if (readAt >= this.#distrustedAt) {
+		if (readAt >= this.#invalidatedAt) {
 			this.#confirmedAt = Math.max(this.#confirmedAt, knownAt);
 		}
 	}
 
-	/** The process may have missed something: what was confirmed before, or asked before, proves nothing. */
+	/** Discards confirmations, including those of pending reads, after updates may have been missed. */
 	invalidate(): void {
-		this.#distrustedAt = this.clock.now();
+		this.#invalidatedAt = this.clock.now();
 		this.#confirmedAt = Number.NEGATIVE_INFINITY;
 	}
 
-	/** How long ago the store last confirmed that nothing newer is there, in milliseconds. */
+	/** Time since the store last confirmed the current version, in milliseconds. */
 	get ageMilliseconds(): number {
 		return this.clock.now() - this.#confirmedAt;
 	}
 
 	/**
-	 * The route with the longest matching prefix. `unknown` only where the store lately confirmed that there is no newer
-	 * version; else the route may be one that this entry hasn't heard of yet, and the answer is `uncertain`.
+	 * Finds the route with the longest matching prefix. Returns `unknown` only if the store recently confirmed the current
+	 * version; otherwise the route may be new, and the result is `uncertain`.
 	 */
 	resolve(host: string, path: string): Resolution {
 		const route = this.#byHost.get(host)?.find(candidate => path.startsWith(candidate.pathPrefix));
@@ -92,7 +95,7 @@
 			return {kind: 'found', route};
 		}
 
-		const isFresh = this.clock.now() - this.#confirmedAt <= this.freshMilliseconds;
+		const isFresh = this.clock.now() - this.#confirmedAt <= this.maximumAgeMilliseconds;
 		return this.#configuration !== undefined && isFresh ? {kind: 'unknown'} : {kind: 'uncertain'};
 	}
 }
--- a/test/features/routing/routing-table.test.ts
+++ b/test/features/routing/routing-table.test.ts
@@ -1,4 +1,4 @@
-/** The configuration in force. */
+/** Version handling and route lookup. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {ProfileName} from '../../../src/base/profile-name.js';
@@ -22,7 +22,7 @@
 	return {clock, table: new RoutingTable(1500, clock, new RecordingJournal())};
 }
 
-test('the longest prefix wins, and hosts are kept apart', () => {
+test('the longest prefix wins, and hosts are matched separately', () => {
 	const {table} = tableOf();
 	table.update(configurationOf(1, '/a/', '/a/b/'), 'store');
 	const found = table.resolve('host', '/a/b/c');
@@ -30,8 +30,8 @@
 	assert.equal(table.resolve('other', '/a/b/c').kind, 'uncertain');
 });
 
-// Operators' changes would be undone: an answer that was delayed, or a peer that was cut off, brings an older version.
-test('an older version never replaces a newer one, whoever brings it', () => {
+// Guards against a delayed response or a partitioned peer reverting the configuration.
+test('an older version never replaces a newer one, whatever its source', () => {
 	const {table} = tableOf();
 	table.update(configurationOf(7, '/new/'), 'peer');
 	table.update(configurationOf(3, '/old/'), 'store');
@@ -39,9 +39,8 @@
 	assert.equal(table.resolve('host', '/old/x').kind, 'uncertain');
 });
 
-// A machine is suspended while the store's answer is on its way. When it wakes the answer looks fresh, but a route may have
-// been added since: a caller of that route would be told that there's no such queue.
-test('an answer that was asked for before a pause confirms nothing after it', () => {
+// Guards against rejecting a new route because a response from before a suspension seems fresh.
+test('a read that was sent before a pause does not confirm the version after it', () => {
 	const {clock, table} = tableOf();
 	table.update(configurationOf(1, '/a/'), 'store');
 	const askedAt = clock.now();
