--- a/src/base/abort-signal-of.ts
+++ b/src/base/abort-signal-of.ts
@@ -1,7 +1,7 @@
-/** Bridges cancellation tokens to the abort signals that libraries take. */
+/** Converts cancellation tokens to abort signals. */
 import type {CancellationToken} from './cancellation-token.js';
 
-/** A signal that aborts on the token's cancellation, or after a number of milliseconds. */
+/** A signal that aborts on cancellation of the token or after the timeout in milliseconds. */
 export function abortSignalOf(timeoutMilliseconds: number, token: CancellationToken): AbortSignal {
 	const controller = new AbortController();
 	token.onDidRequestCancellation(() => {
--- a/src/base/availability-zone.ts
+++ b/src/base/availability-zone.ts
@@ -1,5 +1,5 @@
-/** The branded type of a availability zone. */
+/** Branded type of an availability zone. */
 import type {Brand} from './brand.js';
 
-/** Name of an availability zone, as the settings and the instance list give it. */
+/** Name of an availability zone, as in the settings and the instance list. */
 export type AvailabilityZone = Brand<string, 'AvailabilityZone'>;
--- a/src/base/brand.ts
+++ b/src/base/brand.ts
@@ -1,4 +1,4 @@
-/** Nominal typing for identifiers and quantities that share a primitive representation. */
+/** Nominal types for primitives. */
 
-/** A primitive that carries a compile-time name, so that two kinds of identifier can't be mixed up. */
+/** A primitive with a compile-time name; values with different names are not assignable to each other. */
 export type Brand<Primitive, Name extends string> = Primitive & {readonly __brand: Name};
--- a/src/base/cancellation-source.ts
+++ b/src/base/cancellation-source.ts
@@ -1,10 +1,10 @@
-/** Cooperative cancellation, the requesting side. */
+/** Requests cooperative cancellation. */
 import type {CancellationToken} from './cancellation-token.js';
 import type {Disposable} from './disposable.js';
 import {Emitter} from './emitter.js';
 import type {Event} from './event.js';
 
-/** Owns one token and cancels it at most once. */
+/** Owns a cancellation token; cancelling it again has no effect. */
 export class CancellationSource implements Disposable {
 	readonly token: CancellationToken;
 	#cancelled = false;
@@ -20,7 +20,7 @@
 			listener();
 			return {
 				dispose() {
-				// There is nothing left to fire.
+				// The event has already fired.
 				},
 			};
 		};
--- a/src/base/cancellation-token.ts
+++ b/src/base/cancellation-token.ts
@@ -1,9 +1,9 @@
-/** Cooperative cancellation, the observing side. */
+/** Observes cooperative cancellation. */
 import type {Event} from './event.js';
 
-/** Tells long work that its result is no longer wanted. Always the last parameter. */
+/** Signals to a pending operation that its result is no longer needed. By convention the last parameter. */
 export type CancellationToken = {
 	readonly isCancellationRequested: boolean;
-	/** Fires once, at the request; a subscription made later fires at once. */
+	/** Fires once; a listener added after the cancellation is called immediately. */
 	readonly onDidRequestCancellation: Event<void>;
 };
--- a/src/base/clock.ts
+++ b/src/base/clock.ts
@@ -1,19 +1,19 @@
-/** Time as the code sees it, so that tests decide how it passes. */
+/** Abstract clock, which tests replace. */
 import type {Disposable} from './disposable.js';
 
-/** A source of time and timers. Everything that waits or compares times takes one. */
+/** Source of time and timers for all code that waits or compares times. */
 export abstract class Clock {
-	/** Calls back once everything that is being handled now has been handled, without a wait. */
+	/** Calls back after the events of the current turn have been handled. */
 	defer(callback: () => void): void {
 		this.schedule(0, callback);
 	}
 
-	/** Monotonic time in milliseconds from an arbitrary start; goes on while the process is paused. */
+	/** Monotonic time in milliseconds from an arbitrary origin; advances while the process is stopped. */
 	abstract now(): number;
 
-	/** Time of day in milliseconds since the epoch; may jump, and serves only to read times made elsewhere. */
+	/** Unix time in milliseconds; may jump, so use it only to interpret timestamps from other machines. */
 	abstract wallTime(): number;
 
-	/** Calls back once after a number of milliseconds, unless disposed of first. */
+	/** Calls back once after the delay in milliseconds, unless the returned registration is disposed of first. */
 	abstract schedule(delayMilliseconds: number, callback: () => void): Disposable;
 }
--- a/src/base/disposable-store.ts
+++ b/src/base/disposable-store.ts
@@ -1,12 +1,12 @@
-/** Collects what an owner has to dispose of. */
+/** Collection of disposables. */
 import type {Disposable} from './disposable.js';
 
-/** Owns any number of disposables and disposes of them together, last one first. */
+/** Owns disposables and disposes of them together, in reverse order of insertion. */
 export class DisposableStore implements Disposable {
 	readonly #owned = new Set<Disposable>();
 	#disposed = false;
 
-	/** Takes ownership; what is added after disposal is disposed of at once. */
+	/** Takes ownership; an item added after disposal is disposed of immediately. */
 	add<Owned extends Disposable>(owned: Owned): Owned {
 		if (this.#disposed) {
 			owned.dispose();
@@ -17,7 +17,7 @@
 		return owned;
 	}
 
-	/** Disposes of one owned item and forgets it. */
+	/** Disposes of an owned item and removes it. */
 	remove(owned: Disposable): void {
 		if (this.#owned.delete(owned)) {
 			owned.dispose();
--- a/src/base/disposable.ts
+++ b/src/base/disposable.ts
@@ -1,7 +1,7 @@
-/** Ownership of resources. */
+/** Releasable resources. */
 
-/** Something that holds a resource until its owner disposes of it; disposing twice does nothing. */
+/** Holds a resource until its owner disposes of it. */
 export type Disposable = {
-	/** Releases the resource. Idempotent, and doesn't throw. */
+	/** Releases the resource. Idempotent; does not throw. */
 	dispose(): void;
 };
--- a/src/base/emitter.ts
+++ b/src/base/emitter.ts
@@ -1,12 +1,12 @@
-/** The firing side of an event. */
+/** Event emitter. */
 import type {Disposable} from './disposable.js';
 import type {Event} from './event.js';
 
-/** Holds the listeners of one event; its owner fires it and disposes of it. */
+/** Holds the listeners of one event; its owner fires the event and disposes of the emitter. */
 export class Emitter<Payload> implements Disposable {
 	readonly #listeners = new Set<(payload: Payload) => void>();
 
-	/** Subscribes; listeners run in the order of their subscription. */
+	/** Adds a listener; listeners run in the order in which they were added. */
 	readonly event: Event<Payload> = listener => {
 		this.#listeners.add(listener);
 		return {
--- a/src/base/event.ts
+++ b/src/base/event.ts
@@ -1,5 +1,5 @@
-/** The subscribing side of an event. */
+/** Event subscription. */
 import type {Disposable} from './disposable.js';
 
-/** Calls the listener on every firing until the returned registration is disposed of. */
+/** Adds a listener, which is called each time the event fires until the returned registration is disposed of. */
 export type Event<Payload> = (listener: (payload: Payload) => void) => Disposable;
--- a/src/base/fencing-token.ts
+++ b/src/base/fencing-token.ts
@@ -1,5 +1,5 @@
-/** The branded type of a fencing token. */
+/** Branded type of a fencing token. */
 import type {Brand} from './brand.js';
 
-/** Rises with each change of owners; a target that has seen a higher one rejects orders with a lower one. */
+/** Increases with each change of ownership; a target rejects commands with a lower token than the highest one it has seen. */
 export type FencingToken = Brand<number, 'FencingToken'>;
--- a/src/base/hash-text.ts
+++ b/src/base/hash-text.ts
@@ -1,9 +1,9 @@
-/** A fast hash for placing ids on members. */
+/** Non-cryptographic hash of strings. */
 import createHasher from 'xxhash-wasm';
 
 const {h32} = await createHasher();
 
-/** 32 bits of xxHash; the same on every machine. */
+/** The 32-bit xxHash of a string; identical on all machines. */
 export function hashText(text: string): number {
 	return h32(text);
 }
--- a/src/base/incarnation.ts
+++ b/src/base/incarnation.ts
@@ -1,5 +1,5 @@
-/** The branded type of one life of a target. */
+/** Branded type of a target's incarnation. */
 import type {Brand} from './brand.js';
 
-/** The Unix time in milliseconds at which a target started. It may start again under its id, and knows nothing of before then. */
+/** Unix time in milliseconds at which a target started; a target that restarts keeps its id but loses its state. */
 export type Incarnation = Brand<number, 'Incarnation'>;
--- a/src/base/instance-id.ts
+++ b/src/base/instance-id.ts
@@ -1,5 +1,5 @@
-/** The branded type of a instance id. */
+/** Branded type of an instance id. */
 import type {Brand} from './brand.js';
 
-/** Identifier of a running instance, entry or worker, as the instance list gives it. */
+/** Identifier of an entry or worker instance, as in the instance list. */
 export type InstanceId = Brand<string, 'InstanceId'>;
--- a/src/base/job-answer.ts
+++ b/src/base/job-answer.ts
@@ -1,7 +1,7 @@
-/** What a caller gets for a job that ran. */
+/** Answer to a job that ran. */
 import type {JsonValue} from './json-value.js';
 
-/** Complete with one result for each task in the order of submission, or failed with no result at all. */
+/** Complete with one result per task in submission order, or failed without results. */
 export type JobAnswer =
 	| {readonly kind: 'complete'; readonly results: readonly JsonValue[]}
 	| {readonly kind: 'failed'; readonly taskIndex: number; readonly detail: string};
--- a/src/base/job-id.ts
+++ b/src/base/job-id.ts
@@ -1,5 +1,5 @@
-/** The branded type of a job id. */
+/** Branded type of a job id. */
 import type {Brand} from './brand.js';
 
-/** Identifier of a job, chosen by its submitter; the same job may be submitted again under it. */
+/** Identifier of a job, chosen by the submitter and reused for resubmissions. */
 export type JobId = Brand<string, 'JobId'>;
--- a/src/base/job-of-task.ts
+++ b/src/base/job-of-task.ts
@@ -1,7 +1,7 @@
-/** The job that a task belongs to. */
+/** Derives job ids from task ids. */
 import type {JobId} from './job-id.js';
 
-/** A task is named after its job, up to the first point. */
+/** The job id is the part of the task id before the first dot. */
 export function jobOfTask(task: string): JobId {
 	return task.slice(0, task.indexOf('.')) as JobId;
 }
--- a/src/base/json-value-schema.ts
+++ b/src/base/json-value-schema.ts
@@ -1,6 +1,6 @@
-/** Checks data that JSON can carry. */
+/** Schema of JSON values. */
 import * as z from 'zod';
 import type {JsonValue} from './json-value.js';
 
-/** Any JSON value, unread. */
+/** Accepts any JSON value. */
 export const jsonValueSchema = z.json() as z.ZodType<JsonValue>;
--- a/src/base/member-id.ts
+++ b/src/base/member-id.ts
@@ -1,5 +1,5 @@
-/** The branded type of a member id. */
+/** Branded type of a member id. */
 import type {Brand} from './brand.js';
 
-/** One life of an entry: `instance#incarnation`. An entry that was paused for too long goes on under a new one. */
+/** Identifier of one incarnation of an entry: `instance#incarnation`. An entry gets a new one after a long pause. */
 export type MemberId = Brand<string, 'MemberId'>;
--- a/src/base/ownership-group-name.ts
+++ b/src/base/ownership-group-name.ts
@@ -1,5 +1,5 @@
-/** The branded type of a ownership group name. */
+/** Branded type of an ownership group name. */
 import type {Brand} from './brand.js';
 
-/** Name of a group of entries that share out the targets of one availability zone. */
+/** Name of a group of entries that divide the ownership of the targets in an availability zone. */
 export type OwnershipGroupName = Brand<string, 'OwnershipGroupName'>;
--- a/src/base/profile-name.ts
+++ b/src/base/profile-name.ts
@@ -1,4 +1,4 @@
-/** The branded type of a profile name. */
+/** Branded type of a profile name. */
 import type {Brand} from './brand.js';
 
 /** Name of a profile that operators publish. */
--- a/src/base/random.ts
+++ b/src/base/random.ts
@@ -1,10 +1,10 @@
-/** Randomness from a seed, so that a run can be repeated. */
+/** Seeded random numbers. */
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 
 const fractionSteps = 0x7F_FF_FF_FF;
 
-/** A generator with its state; the daemon seeds it from its identity, tests from a constant. */
+/** Pseudorandom number generator whose sequence is determined by the seed. */
 export class Random {
 	readonly #generator;
 
@@ -12,17 +12,17 @@
 		this.#generator = xoroshiro128plus(seed);
 	}
 
-	/** A whole number from 0 up to, not including, the limit. */
+	/** An integer from 0 (inclusive) to the limit (exclusive). */
 	below(limit: number): number {
 		return uniformInt(this.#generator, 0, limit - 1);
 	}
 
-	/** A number from 0 up to, not including, 1. */
+	/** A number from 0 (inclusive) to 1 (exclusive). */
 	fraction(): number {
 		return this.below(fractionSteps) / fractionSteps;
 	}
 
-	/** So many different items at random, or all of them where there are fewer. */
+	/** A random sample of `count` items without replacement, or all items if there are fewer. */
 	sample<Item>(items: readonly Item[], count: number): readonly Item[] {
 		const rest = [...items];
 		const taken: Item[] = [];
--- a/src/base/rank-by-key.ts
+++ b/src/base/rank-by-key.ts
@@ -1,7 +1,7 @@
 /** Rendezvous hashing. */
 import {hashText} from './hash-text.js';
 
-/** Orders candidates for a key; adding or removing one leaves the order of the others as it is. */
+/** Orders candidates for a key; adding or removing a candidate does not reorder the others. */
 export function rankByKey<Candidate>(key: string, candidates: readonly Candidate[], nameOf: (candidate: Candidate) => string): readonly Candidate[] {
 	const weighted = candidates.map(candidate => {
 		const name = nameOf(candidate);
--- a/src/base/refusal-cause.ts
+++ b/src/base/refusal-cause.ts
@@ -1,6 +1,6 @@
-/** Why a request was refused before it ran. */
+/** Why a request was refused without being run. */
 
-/** Each cause has its row in docs/INTERFACES.md: the status that a caller sees, and what to do. */
+/** Causes are documented in docs/INTERFACES.md, with their HTTP status and the recommended action. */
 export type RefusalCause =
 	| 'invalidRequest'
 	| 'bodyTooLarge'
--- a/src/base/repeat.ts
+++ b/src/base/repeat.ts
@@ -1,23 +1,23 @@
-/** A timer that starts again after each call. */
+/** Periodic timers. */
 import type {Clock} from './clock.js';
 import type {Disposable} from './disposable.js';
 
 /**
- * Calls back at each multiple of the period on the monotonic clock, so that all timers of one process with the same period
- * share a wake-up, and an idle entry isn't woken by each of them apart.
+ * Calls back at multiples of the period on the monotonic clock. The alignment lets timers with the same period share
+ * wake-ups, which reduces the load of idle entries.
  */
 export function repeat(clock: Clock, periodMilliseconds: number, callback: () => void): Disposable {
 	let timer: Disposable;
-	const arm = () => {
-		// Timers may fire a little early; the multiple that has just been served isn't served again.
+	const scheduleNext = () => {
+		// Timers may fire slightly early; rounding avoids a second call for the same multiple.
 		const next = (Math.floor((clock.now() / periodMilliseconds) + 0.5) + 1) * periodMilliseconds;
 		timer = clock.schedule(next - clock.now(), () => {
-			arm();
+			scheduleNext();
 			callback();
 		});
 	};
 
-	arm();
+	scheduleNext();
 	return {
 		dispose() {
 			timer.dispose();
--- a/src/base/resources.ts
+++ b/src/base/resources.ts
@@ -1,6 +1,6 @@
-/** What a task needs of a target, and what a target has. */
+/** Resource amounts of tasks and targets. */
 
-/** Immutable amounts: thousandths of a core, megabytes of memory, accelerators. */
+/** Immutable amounts of CPU in thousandths of a core, memory in megabytes, and accelerators. */
 export class Resources {
 	static readonly none = new Resources(0, 0, 0);
 
@@ -18,8 +18,8 @@
 		return this.cpuMillis === other.cpuMillis && this.memoryMegabytes === other.memoryMegabytes && this.accelerators === other.accelerators;
 	}
 
-	/** Whether all of this can be taken from the given room. */
-	fitsInto(room: Resources): boolean {
-		return this.cpuMillis <= room.cpuMillis && this.memoryMegabytes <= room.memoryMegabytes && this.accelerators <= room.accelerators;
+	/** Whether the available amounts cover all of these. */
+	fitsInto(available: Resources): boolean {
+		return this.cpuMillis <= available.cpuMillis && this.memoryMegabytes <= available.memoryMegabytes && this.accelerators <= available.accelerators;
 	}
 }
--- a/src/base/revision.ts
+++ b/src/base/revision.ts
@@ -1,5 +1,5 @@
-/** The branded type of a revision. */
+/** Branded type of a profile revision. */
 import type {Brand} from './brand.js';
 
-/** Offset of the record that made a profile what it is; the base for a revision. */
+/** Stream offset of the record that defines the current state of a profile; changes are based on it. */
 export type Revision = Brand<number, 'Revision'>;
--- a/src/base/stream-offset.ts
+++ b/src/base/stream-offset.ts
@@ -1,5 +1,5 @@
-/** The branded type of a stream offset. */
+/** Branded type of a stream offset. */
 import type {Brand} from './brand.js';
 
-/** Position of a record in a stream of the platform's log, from 0. */
+/** Zero-based position of a record in a stream of the platform's log. */
 export type StreamOffset = Brand<number, 'StreamOffset'>;
--- a/src/base/submission-id.ts
+++ b/src/base/submission-id.ts
@@ -1,5 +1,5 @@
-/** The branded type of a submission id. */
+/** Branded type of a submission id. */
 import type {Brand} from './brand.js';
 
-/** The caller's idempotency key of a job; see docs/INTERFACES.md for its grammar. */
+/** The caller's idempotency key for a job; docs/INTERFACES.md describes its grammar. */
 export type SubmissionId = Brand<string, 'SubmissionId'>;
--- a/src/base/system-clock.ts
+++ b/src/base/system-clock.ts
@@ -3,7 +3,7 @@
 import {Clock} from './clock.js';
 import type {Disposable} from './disposable.js';
 
-/** Real time; `now` is CLOCK_MONOTONIC, which goes on during SIGSTOP and garbage collection. */
+/** `now` reads CLOCK_MONOTONIC, which advances during SIGSTOP and garbage collection. */
 export class SystemClock extends Clock {
 	override now(): number {
 		return performance.now();
--- a/src/base/target-time.ts
+++ b/src/base/target-time.ts
@@ -1,5 +1,5 @@
-/** The branded type of a time on a target's clock. */
+/** Branded type of a time on a target's clock. */
 import type {Brand} from './brand.js';
 
-/** Milliseconds on the steady clock of one life of a target; comparable only with others of the same life. */
+/** Milliseconds on the monotonic clock of one incarnation of a target; comparable only within that incarnation. */
 export type TargetTime = Brand<number, 'TargetTime'>;
--- a/src/base/task-id.ts
+++ b/src/base/task-id.ts
@@ -1,5 +1,5 @@
-/** The branded type of a task id. */
+/** Branded type of a task id. */
 import type {Brand} from './brand.js';
 
-/** Identifier of one task: the submission's id, a slash and the task's position from 0. */
+/** Identifier of one task, derived from the id of its submission or job and the task's position. */
 export type TaskId = Brand<string, 'TaskId'>;
--- a/src/base/task-specification.ts
+++ b/src/base/task-specification.ts
@@ -1,11 +1,11 @@
-/** One unit of work of a job. */
+/** Specification of one task. */
 import type {JsonValue} from './json-value.js';
 
 /** A task as the caller submitted it. */
 export type TaskSpecification = {
-	/** Given to the target as it is. */
+	/** Forwarded to the target unchanged. */
 	readonly payload: JsonValue;
-	/** The caller's guess of the run time; often far off. */
+	/** The caller's estimate of the run time in milliseconds; often inaccurate. */
 	readonly declaredMilliseconds?: number;
 	readonly memoryMegabytes?: number;
 	readonly accelerators?: number;
--- a/src/base/ticket-id.ts
+++ b/src/base/ticket-id.ts
@@ -1,5 +1,5 @@
-/** The branded type of a ticket id. */
+/** Branded type of a ticket id. */
 import type {Brand} from './brand.js';
 
-/** One wish for a slot: the task's id and the number of the try. */
+/** Identifier of one slot request: the task id and the number of the attempt. */
 export type TicketId = Brand<string, 'TicketId'>;
--- a/src/base/uncertainty-cause.ts
+++ b/src/base/uncertainty-cause.ts
@@ -1,6 +1,6 @@
-/** Why it isn't known whether a request ran. */
+/** Why the outcome of a request is unknown. */
 
-/** Each cause has its row in docs/INTERFACES.md. */
+/** Causes are documented in docs/INTERFACES.md. */
 export type UncertaintyCause =
 	| 'connectionLost'
 	| 'taskTimeout'
--- a/src/base/verdict.ts
+++ b/src/base/verdict.ts
@@ -1,10 +1,10 @@
-/** What is known about a request's fate; the one type that every layer returns. */
-import type {UncertaintyCause} from './uncertainty-cause.js';
+/** Outcome of a request, as returned by all layers. */
 import type {RefusalCause} from './refusal-cause.js';
+import type {UncertaintyCause} from './uncertainty-cause.js';
 
 /**
- * Answered, truly not run, or not known. It alone decides on retries, the HTTP status and the wording.
- * No code may make `notRun` out of `mayHaveRun`; only `notRun` may be tried again.
+ * Answered, provably not run, or unknown. Determines retries and the HTTP status.
+ * `mayHaveRun` must never be converted to `notRun`, and only `notRun` may be retried.
  */
 export type Verdict<Answer> =
 	| {readonly kind: 'answered'; readonly answer: Answer}
@@ -12,7 +12,7 @@
 		readonly kind: 'notRun';
 		readonly cause: RefusalCause;
 		readonly detail: string;
-		/** When trying again may help, in milliseconds; absent where it won't. */
+		/** Suggested retry delay in milliseconds; absent if a retry will not help. */
 		readonly retryAfterMilliseconds?: number;
 	}
 	| {readonly kind: 'mayHaveRun'; readonly cause: UncertaintyCause; readonly detail: string};
--- a/src/base/wait.ts
+++ b/src/base/wait.ts
@@ -1,7 +1,7 @@
-/** Waiting on a clock. */
+/** Asynchronous delays. */
 import type {Clock} from './clock.js';
 
-/** Resolves after so many milliseconds of the clock. */
+/** Resolves after a number of milliseconds on the clock. */
 export async function wait(clock: Clock, milliseconds: number): Promise<void> {
 	await new Promise<void>(resolve => {
 		clock.schedule(milliseconds, resolve);
