--- a/src/features/membership/instance-list-membership.ts
+++ b/src/features/membership/instance-list-membership.ts
@@ -1,4 +1,4 @@
-/** The membership from the instance list, the peer connections and farewells. */
+/** Derives the membership from the instance list, peer connections and leave messages. */
 import * as z from 'zod';
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
@@ -17,23 +17,23 @@
 import {Membership} from './membership.js';
 
 const channel = 'membership';
-/** A member that was not heard of for so long is silent: two pings and a redial went unanswered. */
-const silenceMilliseconds = 2000;
+/** A member is unresponsive after this time, which covers two unanswered pings and a redial. */
+const unresponsiveMilliseconds = 2000;
 /**
- * A silent member is given up when the list hasn't named it for so long. A member that acts in another's place must have
- * seen itself on the list more recently than this, so that it never does so after it was given up.
+ * A silent member that has been missing from the list for this time is considered dead. A member may act for another one only if it
+ * has seen itself on the list more recently, so that it never does so after it has been declared dead.
  */
 const delistedMilliseconds = 5000;
-/** Peers of the own zone that are pinged; this bounds the traffic of an entry. */
+/** Number of peers in the own zone that are pinged, which bounds the traffic of a node. */
 const watchedInZone = 8;
-/** Beyond this an entry that doesn't hear of a member most likely isn't connected to it. */
+/** After a longer silence there is most likely no connection to the member, so that the silence says nothing about it. */
 const lastHeardLimitMilliseconds = 20_000;
 
 const messageSchema = z.object({kind: z.literal('left')});
 
 /**
- * Members are met through their handshakes and lost by proof: a refused connection, a newer life at the address, a
- * farewell, or silence together with the list's word that they're gone. Silence alone proves nothing.
+ * Members join through the handshake. They are lost through a refused connection, a newer incarnation at the same address, a leave
+ * message, or silence while they are missing from the instance list. Silence alone is not sufficient.
  */
 export class InstanceListMembership extends Membership implements Disposable {
 	readonly #members = new Map<MemberId, Member>();
@@ -112,14 +112,14 @@
 	}
 
 	override isUnresponsive(member: MemberId): boolean {
-		// Only the own zone is pinged; of others only their silence to a message tells anything.
+		// Only members of the own zone are pinged; others are unresponsive only if a message to them remains unanswered.
 		if (this.#members.get(member)?.zone !== this.self.zone) {
 			const unansweredSince = this.network.unansweredSince(member);
-			return unansweredSince !== undefined && this.clock.now() - unansweredSince > silenceMilliseconds;
+			return unansweredSince !== undefined && this.clock.now() - unansweredSince > unresponsiveMilliseconds;
 		}
 
 		const heardAt = this.network.lastHeard(member) ?? this.#metAt.get(member);
-		return heardAt === undefined || this.clock.now() - heardAt > silenceMilliseconds;
+		return heardAt === undefined || this.clock.now() - heardAt > unresponsiveMilliseconds;
 	}
 
 	override millisecondsSinceHeard(member: MemberId): number | undefined {
@@ -130,7 +130,7 @@
 
 	override isRoundTripOverdue(member: MemberId): boolean {
 		const reachedAt = this.network.lastReached(member) ?? this.#metAt.get(member);
-		return reachedAt === undefined || this.clock.now() - reachedAt >= silenceMilliseconds;
+		return reachedAt === undefined || this.clock.now() - reachedAt >= unresponsiveMilliseconds;
 	}
 
 	override lastRoundTripAt(member: MemberId): number | undefined {
@@ -205,7 +205,7 @@
 		}
 	}
 
-	/** Watches neighbours of the own zone, a bounded number in any fleet; connections to other zones live by their use. */
+	/** Keeps connections to a bounded number of members in the own zone; others are opened on demand. */
 	#updateWatched(): void {
 		const inZone = this.peers.filter(member => member.zone === this.self.zone);
 		const watched = rankByKey(this.self.instance, inZone, member => member.instance).slice(0, watchedInZone);
--- a/src/features/membership/member-loss.ts
+++ b/src/features/membership/member-loss.ts
@@ -1,7 +1,7 @@
-/** How a member went away. */
+/** The loss of a member. */
 import type {Member} from '../../runtime/peers/member.js';
 
-/** `left` after it handed everything over; `dead` otherwise, with all that only it knew. */
+/** `left` if the member handed over its state before it stopped; `dead` otherwise. */
 export type MemberLoss = {
 	readonly member: Member;
 	readonly manner: 'left' | 'dead';
--- a/src/features/membership/membership-key.ts
+++ b/src/features/membership/membership-key.ts
@@ -1,4 +1,4 @@
-/** The container's name for the membership. */
+/** The service key of the membership. */
 import {ServiceKey} from '../../runtime/kernel/service-key.js';
 import type {Membership} from './membership.js';
 
--- a/src/features/membership/membership.ts
+++ b/src/features/membership/membership.ts
@@ -1,47 +1,51 @@
-/** The entries that are there. */
+/** The live nodes of the fleet. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Event} from '../../base/event.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {Member} from '../../runtime/peers/member.js';
 import type {MemberLoss} from './member-loss.js';
 
-/** This entry's own view, which may lag behind the truth and differ from its peers' views. */
+/** This node's local view of the fleet, which may be outdated and may differ from the views of its peers. */
 export abstract class Membership {
+	/** This node. */
 	abstract readonly self: Member;
 
-	/** All live members but this entry. */
+	/** All live members except this node. */
 	abstract readonly peers: readonly Member[];
 
-	/** When the instance list last showed this entry itself (monotonic); none if it never did. */
+	/** When the instance list last contained this node, in milliseconds of the monotonic clock; undefined if it never has. */
 	abstract readonly lastListedAt: number | undefined;
 
+	/** Fires when a member has been met. */
 	abstract readonly onDidJoin: Event<Member>;
 
+	/** Fires after a member has left or is considered dead. */
 	abstract readonly onDidLose: Event<MemberLoss>;
 
-	/** Live members of a zone, this entry included where it's its own zone. */
+	/** Live members of a zone, including this node if the zone is its own. */
 	abstract membersInZone(zone: AvailabilityZone): readonly Member[];
 
+	/** Returns a live member, or this node itself. */
 	abstract findMember(member: MemberId): Member | undefined;
 
-	/** True where an address that the list names has neither answered nor refused yet. */
+	/** Whether any listed instance of a zone has neither answered nor refused a connection yet. */
 	abstract hasUnresolvedInstances(zone: AvailabilityZone): boolean;
 
-	/** True where a member gave no sign of life for so long that it may be dead or paused. */
+	/** Whether a member has been silent for so long that it may be dead or paused. */
 	abstract isUnresponsive(member: MemberId): boolean;
 
-	/** Milliseconds since the last sign of life; none where there never was one, or it's too old to tell anything. */
+	/** Milliseconds since a member was last heard; undefined if it never was, or too long ago to be meaningful. */
 	abstract millisecondsSinceHeard(member: MemberId): number | undefined;
 
 	/**
-	 * True where a member may have taken this entry for silent: it answered no ping that was sent in the time after which
-	 * a member counts as silent.
+	 * Whether a member may consider this node unresponsive: no ping that was sent within the timeout for unresponsive members has been
+	 * answered.
 	 */
 	abstract isRoundTripOverdue(member: MemberId): boolean;
 
-	/** When a member answered a ping last, counted from the ping's sending; monotonic. */
+	/** When the last ping that a member answered was sent, in milliseconds of the monotonic clock. */
 	abstract lastRoundTripAt(member: MemberId): number | undefined;
 
-	/** Tells all peers that this entry is going and has handed over what it knew. */
+	/** Notifies all peers that this node is leaving and has handed over its state. */
 	abstract announceLeave(): void;
 }
