--- a/src/features/pool/absent-number.ts
+++ b/src/features/pool/absent-number.ts
@@ -1,2 +1,4 @@
-/** In the place of a number that isn't there: all that are told are zero or more. */
+/** Encoding of optional numbers in pool messages. */
+
+/** Stands for an absent number on the wire; all numbers that are sent are zero or more. */
 export const absentNumber = -1;
--- a/src/features/pool/count-eligible-targets.ts
+++ b/src/features/pool/count-eligible-targets.ts
@@ -1,8 +1,8 @@
-/** Whether room is of use to somebody. */
+/** Matches demand with free capacity. */
 import type {RoomShare} from '../execution/room-share.js';
 import type {WantedRoom} from '../execution/wanted-room.js';
 
-/** How many targets could take a task of those that are waited for. */
-export function countEligibleTargets(wanted: readonly WantedRoom[], room: readonly RoomShare[]): number {
-	return room.filter(share => wanted.some(({service, need}) => service === share.service && need.fitsInto(share.room))).length;
+/** Returns how many targets have enough free capacity for at least one of the waiting tasks. */
+export function countEligibleTargets(demand: readonly WantedRoom[], freeCapacity: readonly RoomShare[]): number {
+	return freeCapacity.filter(share => demand.some(({service, need}) => service === share.service && need.fitsInto(share.room))).length;
 }
--- a/src/features/pool/decode-frame.ts
+++ b/src/features/pool/decode-frame.ts
@@ -1,10 +1,10 @@
-/** Reads frames of the pool. */
+/** Decodes frames of the pool. */
 import {decodeMessages} from './decode-messages.js';
 import {EncodedValues} from './encoded-values.js';
 import type {Epoch} from './epoch.js';
 import type {PoolFrame} from './pool-frame.js';
 
-/** A frame; throws a `TypeError` that says what can't be read. */
+/** Throws a `TypeError` that names the malformed value. */
 export function decodeFrame(body: unknown): PoolFrame {
 	const values = new EncodedValues(Array.isArray(body) ? body : []);
 	return {epoch: decodeEpoch(values), acknowledgedEpoch: decodeEpoch(values), messages: decodeMessages(values.list())};
--- a/src/features/pool/decode-messages.ts
+++ b/src/features/pool/decode-messages.ts
@@ -1,4 +1,4 @@
-/** Reads messages of the pool. */
+/** Decodes messages of the pool. */
 import * as z from 'zod';
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Incarnation} from '../../base/incarnation.js';
@@ -18,10 +18,10 @@
 import {absentNumber} from './absent-number.js';
 import type {PoolMessage} from './pool-message.js';
 
-const lossNews = ['silent', 'down', 'unsure', 'back'] as const;
-const refusals = ['noRoom', 'superseded', 'targetRefused', 'outdated'] as const;
+const lossStates = ['silent', 'down', 'unsure', 'back'] as const;
+const refusalCauses = ['noRoom', 'superseded', 'targetRefused', 'outdated'] as const;
 
-/** Comes seldom and decides for all jobs from then on: checked by schema. */
+/** Validated in full, since the configuration affects all later jobs; it is received too rarely for the cost to matter. */
 const configurationSchema = z.object({
 	version: z.number(),
 	bodyLimitBytes: z.number(),
@@ -37,7 +37,7 @@
 	})),
 });
 
-/** The messages of a batch; throws a `TypeError` that says what can't be read. */
+/** Decodes the messages of a batch; throws a `TypeError` that names the malformed value. */
 export function decodeMessages(body: unknown): readonly PoolMessage[] {
 	let previous: RunRequest | undefined;
 	return new EncodedValues([body]).lists(values => {
@@ -133,7 +133,7 @@
 		}
 
 		default: {
-			throw new TypeError(`no message has the code ${code}`);
+			throw new TypeError(`unknown message code ${code}`);
 		}
 	}
 }
@@ -176,7 +176,7 @@
 
 function decodeNextRequest(values: EncodedValues, previous: RunRequest | undefined): RunRequest {
 	if (previous === undefined) {
-		throw new TypeError('a run of the same job as the one before it, which is not there');
+		throw new TypeError('a nextRun message without a preceding run');
 	}
 
 	return {
@@ -197,9 +197,9 @@
 
 		case 'refused': {
 			const cause = values.text();
-			const known = refusals.find(refusal => refusal === cause);
+			const known = refusalCauses.find(refusal => refusal === cause);
 			if (known === undefined) {
-				throw new TypeError(`no refusal has the cause ${cause}`);
+				throw new TypeError(`unknown refusal cause ${cause}`);
 			}
 
 			return {kind, cause: known};
@@ -210,7 +210,7 @@
 		}
 
 		default: {
-			throw new TypeError(`no run ends as ${kind}`);
+			throw new TypeError(`unknown run outcome ${kind}`);
 		}
 	}
 }
@@ -219,9 +219,9 @@
 	const target = values.text<InstanceId>();
 	const incarnation = values.number();
 	const text = values.text();
-	const news = lossNews.find(known => known === text);
+	const news = lossStates.find(known => known === text);
 	if (news === undefined) {
-		throw new TypeError(`no loss is told as ${text}`);
+		throw new TypeError(`unknown state of a lost target: ${text}`);
 	}
 
 	return {
@@ -236,7 +236,7 @@
 function decodeConfiguration(value: unknown) {
 	const checked = configurationSchema.safeParse(value);
 	if (!checked.success) {
-		throw new TypeError(`the configuration: ${checked.error.issues[0]?.message}`);
+		throw new TypeError(`invalid routing configuration: ${checked.error.issues[0]?.message}`);
 	}
 
 	return checked.data;
--- a/src/features/pool/encode-messages.ts
+++ b/src/features/pool/encode-messages.ts
@@ -1,4 +1,4 @@
-/** Messages of the pool as they travel. */
+/** Encodes messages of the pool. */
 import {match} from 'ts-pattern';
 import type {Resources} from '../../base/resources.js';
 import type {RunOutcome} from '../execution/run-outcome.js';
@@ -8,12 +8,12 @@
 import {absentNumber} from './absent-number.js';
 import type {PoolMessage} from './pool-message.js';
 
-/** Numbers, texts and lists only. */
+/** An encoded message: a list whose first element is the message code. */
 type Encoded = readonly unknown[];
 
 /**
- * A batch for one entry, as lists without names of fields. Tasks of one job that go to the same entry carry the job's payload
- * once: it makes most of their bytes, and bytes between zones are paid for.
+ * Encodes a batch for one peer as positional lists. Consecutive runs of one job carry its payload only once, since the payload
+ * makes up most of their size and traffic between zones is billed.
  */
 export function encodeMessages(messages: readonly PoolMessage[]): readonly Encoded[] {
 	let previous: RunRequest | undefined;
@@ -23,7 +23,7 @@
 		}
 
 		const {request} = message;
-		const isSameJob = previous !== undefined && haveJobInCommon(previous, request);
+		const isSameJob = previous !== undefined && belongToSameJob(previous, request);
 		previous = request;
 		return isSameJob ? [messageCode.nextRun, request.task, request.attempt, request.avoid] : [messageCode.run, ...encodeRequest(request)];
 	});
@@ -90,8 +90,8 @@
 	return [cpuMillis, memoryMegabytes, accelerators];
 }
 
-/** The payload is compared as a whole; within a job it's the same text, so that the comparison ends at once. */
-function haveJobInCommon(left: RunRequest, right: RunRequest): boolean {
+/** Comparing the payloads is cheap: runs of one job share the same string. */
+function belongToSameJob(left: RunRequest, right: RunRequest): boolean {
 	return left.payload === right.payload
 		&& left.need === right.need
 		&& left.queue === right.queue
--- a/src/features/pool/encoded-values.ts
+++ b/src/features/pool/encoded-values.ts
@@ -1,8 +1,8 @@
-/** Reads values of a decoded message. */
+/** Reads the values of a positional list. */
 
 /**
- * Values of a list that came from another entry, taken in order. Peers have proved that they know the key, so that a value of
- * another type is a defect or another version: it's thrown as a `TypeError`, and the whole batch has no effect.
+ * Reads the values of a list from a peer in order and checks their types. Peers are authenticated, so an unexpected type means a
+ * defect or an incompatible version: the methods throw a `TypeError`, and the whole batch is discarded.
  */
 export class EncodedValues {
 	#next = 0;
@@ -11,12 +11,12 @@
 
 	text<Text extends string = string>(): Text {
 		const value = this.#take();
-		return typeof value === 'string' ? value as Text : this.#fail('text', value);
+		return typeof value === 'string' ? value as Text : this.#fail('a string', value);
 	}
 
 	optionalText(): string | undefined {
 		const value = this.#take();
-		return value === undefined || typeof value === 'string' ? value : this.#fail('text or nothing', value);
+		return value === undefined || typeof value === 'string' ? value : this.#fail('a string or undefined', value);
 	}
 
 	number(): number {
@@ -26,7 +26,7 @@
 
 	flag(): boolean {
 		const value = this.#take();
-		return typeof value === 'boolean' ? value : this.#fail('true or false', value);
+		return typeof value === 'boolean' ? value : this.#fail('a boolean', value);
 	}
 
 	bytes(): Uint8Array {
@@ -39,23 +39,23 @@
 		return Array.isArray(value) ? value : this.#fail('a list', value);
 	}
 
-	/** Each element of the next list, which is itself a list. */
+	/** Reads a list of lists with the given function. */
 	lists<Item>(read: (values: EncodedValues) => Item): readonly Item[] {
 		return this.list().map(item => Array.isArray(item) ? read(new EncodedValues(item)) : this.#fail('a list of lists', item));
 	}
 
 	texts(): readonly string[] {
-		return this.list().map(item => typeof item === 'string' ? item : this.#fail('a list of texts', item));
+		return this.list().map(item => typeof item === 'string' ? item : this.#fail('a list of strings', item));
 	}
 
-	/** All values that are left. */
+	/** Reads all remaining values as strings. */
 	rest(): readonly string[] {
 		const rest = this.values.slice(this.#next);
 		this.#next = this.values.length;
-		return rest.map(item => typeof item === 'string' ? item : this.#fail('text', item));
+		return rest.map(item => typeof item === 'string' ? item : this.#fail('a string', item));
 	}
 
-	/** A value that its reader checks itself. */
+	/** Returns the next value unchecked; the caller validates it. */
 	any(): unknown {
 		return this.#take();
 	}
@@ -65,7 +65,7 @@
 		return this.values[this.#next - 1];
 	}
 
-	#fail(wanted: string, value: unknown): never {
-		throw new TypeError(`value ${this.#next} is ${typeof value}, not ${wanted}`);
+	#fail(expected: string, value: unknown): never {
+		throw new TypeError(`value ${this.#next} is ${typeof value}, not ${expected}`);
 	}
 }
--- a/src/features/pool/epoch.ts
+++ b/src/features/pool/epoch.ts
@@ -1,8 +1,7 @@
-/** The terms on which one entry takes another one's requests. */
+/** Orders the requests of a peer relative to losses and stalls. */
 
 /**
- * `losses` counts how often an entry has taken the other one as lost, `pauses` how often it has found that it was out of touch
- * itself. A request is valid only in the epoch in which it was sent: at each change, what the other entry had asked for was
- * stopped or given up, and its callers may have submitted elsewhere since.
+ * `losses` counts how often a node has declared the peer lost, `pauses` how often the node itself has stalled. A request is valid
+ * only in the epoch in which it was sent: each change stops the peer's runs, and its callers may have resubmitted elsewhere.
  */
 export type Epoch = {readonly losses: number; readonly pauses: number};
--- a/src/features/pool/epochs.ts
+++ b/src/features/pool/epochs.ts
@@ -1,66 +1,63 @@
-/** The epochs between this entry and each other one, both ways. */
+/** The epochs between this node and its peers, in both directions. */
 import type {MemberId} from '../../base/member-id.js';
 import type {Epoch} from './epoch.js';
 
 const first: Epoch = {losses: 0, pauses: 0};
 
-/** What a frame states: its sender's epoch for the receiver, and the receiver's for the sender as it was last heard. */
+/** The epochs in a frame: the sender's for the receiver, and the receiver's for the sender as last received. */
 type FrameEpochs = {readonly epoch: Epoch; readonly acknowledgedEpoch: Epoch};
 
-/**
- * Orders what entries ask of each other by their losses and pauses, which holds for however long an entry stood still and
- * whatever its clocks made of that.
- */
+/** Rejects requests from before a loss or a stall, without relying on clocks, which may not count the time of a stall. */
 export class Epochs {
 	readonly #losses = new Map<MemberId, number>();
-	readonly #heard = new Map<MemberId, Epoch>();
-	/** Entries of whose latest loss of this one nothing more has to be learned: the silence was noticed here as well. */
-	readonly #noticed = new Set<MemberId>();
+	readonly #remote = new Map<MemberId, Epoch>();
+	/** Peers whose next declared loss of this node is already accounted for, because this node noticed the interruption as well. */
+	readonly #accounted = new Set<MemberId>();
 	#pauses = 0;
 
-	/** This entry's epoch for another one. */
+	/** This node's epoch for a peer. */
 	local(member: MemberId): Epoch {
 		return {losses: this.#losses.get(member) ?? 0, pauses: this.#pauses};
 	}
 
-	/** Another entry's epoch for this one, as it was last heard. */
+	/** A peer's epoch for this node, as last received. */
 	remote(member: MemberId): Epoch {
-		return this.#heard.get(member) ?? first;
+		return this.#remote.get(member) ?? first;
 	}
 
-	/** This entry has taken another one as lost. */
+	/** Records that this node has declared a peer lost. */
 	recordLoss(member: MemberId): void {
 		this.#losses.set(member, this.local(member).losses + 1);
-		this.#noticed.add(member);
+		this.#accounted.add(member);
 	}
 
-	/** This entry was out of touch with the others. */
+	/** Records that this node has stalled. */
 	recordPause(): void {
 		this.#pauses += 1;
-		for (const member of this.#heard.keys()) {
-			this.#noticed.add(member);
+		for (const member of this.#remote.keys()) {
+			this.#accounted.add(member);
 		}
 	}
 
-	/** Whether what a member asks for was sent in this entry's present epoch. */
+	/** Whether a frame was sent in this node's current epoch. */
 	isCurrent(member: MemberId, {acknowledgedEpoch}: FrameEpochs): boolean {
 		const own = this.local(member);
 		return acknowledgedEpoch.losses === own.losses && acknowledgedEpoch.pauses === own.pauses;
 	}
 
 	/**
-	 * Takes what a member states; true where it has taken this entry as lost, and this entry hasn't noticed. What a member states
-	 * before it has heard of this entry's present epoch was under way while that changed.
+	 * Records the epochs of a frame. Returns whether the peer has declared this node lost without this node having noticed. Frames
+	 * from before the peer received this node's current epoch don't count.
 	 */
-	observe(member: MemberId, stated: FrameEpochs): boolean {
-		const {epoch} = stated;
-		const known = this.#heard.get(member);
+	observe(member: MemberId, frame: FrameEpochs): boolean {
+		const {epoch} = frame;
+		const known = this.#remote.get(member);
 		if (known === undefined || epoch.losses > known.losses || epoch.pauses > known.pauses) {
-			// Frames on a former connection may be read after those on the present one.
-			this.#heard.set(member, {losses: Math.max(epoch.losses, known?.losses ?? 0), pauses: Math.max(epoch.pauses, known?.pauses ?? 0)});
+			// Frames of a previous connection may be read after those of the current one.
+			this.#remote.set(member, {losses: Math.max(epoch.losses, known?.losses ?? 0), pauses: Math.max(epoch.pauses, known?.pauses ?? 0)});
 		}
 
-		const isNew = this.isCurrent(member, stated) && !this.#noticed.delete(member);
+		const isNew = this.isCurrent(member, frame) && !this.#accounted.delete(member);
 		return isNew && known !== undefined && epoch.losses > known.losses;
 	}
 }
--- a/src/features/pool/full-mesh-limit.ts
+++ b/src/features/pool/full-mesh-limit.ts
@@ -1,7 +1,7 @@
-/** What counts as a small fleet. */
+/** The size up to which a fleet is fully connected. */
 
 /**
- * In a fleet of no more others than this everybody is connected to everybody, and close. In a larger one connections and
- * heartbeats, and what each entry does for them, would grow with the square of its size.
+ * With at most this many peers, every node is connected to every other one and exchanges active heartbeats with it. Larger fleets
+ * use a partial mesh, since connections and heartbeats would grow with the square of the fleet's size.
  */
 export const fullMeshLimit = 12;
--- a/src/features/pool/heartbeat-timing.ts
+++ b/src/features/pool/heartbeat-timing.ts
@@ -1,6 +1,6 @@
-/** What two entries expect of each other. */
+/** The timing of heartbeats between two nodes. */
 
-/** How often heartbeats come, how long the last one lets new tasks be sent, and after what silence an entry is lost. */
+/** A peer gets no new tasks once its last heartbeat is stale, and is considered lost after the timeout. */
 export type HeartbeatTiming = {
 	readonly periodMilliseconds: number;
 	readonly staleAfterMilliseconds: number;
--- a/src/features/pool/message-code.ts
+++ b/src/features/pool/message-code.ts
@@ -1,10 +1,10 @@
-/** How messages of the pool are told apart on the wire. */
+/** Type codes of pool messages on the wire. */
 
-/** The first element of each encoded message. A number keeps its meaning; a retired one isn't used again. */
+/** The first element of each encoded message. Codes are stable; retired ones must not be reused. */
 export const messageCode = {
 	state: 0,
 	run: 2,
-	/** A run of the same job as the run before it in the same batch: only what differs follows. */
+	/** A run of the same job as the preceding run of the batch; carries only the fields that differ. */
 	nextRun: 3,
 	report: 4,
 	stop: 5,
--- a/src/features/pool/neighbours.ts
+++ b/src/features/pool/neighbours.ts
@@ -1,48 +1,43 @@
-/** Which entries this one keeps connections to. */
+/** Selects the peers to keep connections to. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
 import {rankByKey} from '../../base/rank-by-key.js';
 import type {PeerEndpoint} from './peer-endpoint.js';
 import {fullMeshLimit} from './full-mesh-limit.js';
 
-/**
- * So many of each other zone are chosen; about as many more choose this entry. Their room is enough for what the own zone
- * can't take, and one of them may go without the zone being out of sight. Between 96 entries of 6 zones that leaves 34 of
- * 95 connections an entry, and with them 38 of 155 heartbeats a second each way (counted in memory).
- */
-const chosenOfZone = 2;
-/** A dial that takes longer has met a machine that is gone, or a cut: another entry of the zone is tried. */
+/** Peers selected from each other zone. Two, so that the zone stays connected when one of them is lost. */
+const peersPerZone = 2;
+/** After this time without a connection another peer of the zone is tried. */
 const dialMilliseconds = 1000;
-/** After which such an entry may be tried again. While a zone is cut off its entries are dialled in turn, not all at once. */
-const setAsideMilliseconds = 2000;
+/** How long an unreachable peer is skipped. The peers of a partitioned zone are dialled in turn, not all at once. */
+const skipMilliseconds = 2000;
 
-/** What the choice depends on. */
+/** Dependencies of the selection. */
 type NeighboursParts = {
 	readonly self: {readonly address: string; readonly zone: AvailabilityZone};
 	readonly clock: Clock;
 };
 
 /**
- * All entries of the own zone, since its targets move among them, and a few of each other zone by rendezvous hashing. What an
- * entry does for its connections would otherwise grow with the fleet: dials, handshakes, heartbeats, and the dials
- * of all others while a zone is cut off.
+ * Selects all peers of the own zone, since its targets move among them, and a few of each other zone by rendezvous hashing, which
+ * bounds the number of connections between zones.
  */
 export class Neighbours {
 	readonly #zones = new Map<string, AvailabilityZone | undefined>();
-	/** Since when an entry is chosen that isn't met. */
+	/** When a selected peer that isn't connected was first dialled. */
 	readonly #dialledAt = new Map<string, number>();
-	readonly #setAsideUntil = new Map<string, number>();
-	/** Other zones' entries in the order of preference; made anew when one is added. */
+	readonly #skippedUntil = new Map<string, number>();
+	/** Peers of the other zones in order of preference; recomputed when a peer is added. */
 	#ranked: ReadonlyMap<AvailabilityZone, readonly string[]> | undefined;
 
 	constructor(private readonly parts: NeighboursParts) {}
 
-	/** All entries that are known, but for those whose zone isn't. */
+	/** All known peers whose zone is known. */
 	get known(): readonly PeerEndpoint[] {
 		return [...this.#zones].filter(([, zone]) => zone !== undefined).map(([address, zone]) => ({address, zone}));
 	}
 
-	/** Takes an entry, or its zone. */
+	/** Adds a peer, or the zone of a known address. */
 	add({address, zone}: PeerEndpoint): void {
 		const isNew = !this.#zones.has(address);
 		if (address === this.parts.self.address || (!isNew && (zone === undefined || this.#zones.get(address) === zone))) {
@@ -53,7 +48,7 @@
 		this.#ranked = undefined;
 	}
 
-	/** The addresses to connect to; `met` are those of entries that are heard. */
+	/** Returns the addresses to connect to; `met` are the addresses of connected peers. */
 	choose(met: ReadonlySet<string>): ReadonlySet<string> {
 		if (this.#zones.size <= fullMeshLimit) {
 			return new Set(this.#zones.keys());
@@ -68,7 +63,7 @@
 
 		this.#ranked ??= this.#rank();
 		for (const ranked of this.#ranked.values()) {
-			for (const address of this.#chooseOf(ranked, met)) {
+			for (const address of this.#chooseFrom(ranked, met)) {
 				chosen.add(address);
 			}
 		}
@@ -76,11 +71,11 @@
 		return chosen;
 	}
 
-	#chooseOf(ranked: readonly string[], met: ReadonlySet<string>): readonly string[] {
+	#chooseFrom(ranked: readonly string[], met: ReadonlySet<string>): readonly string[] {
 		const now = this.parts.clock.now();
 		const chosen: string[] = [];
 		for (const address of ranked) {
-			if (chosen.length === chosenOfZone) {
+			if (chosen.length === peersPerZone) {
 				break;
 			}
 
@@ -92,14 +87,14 @@
 		return chosen;
 	}
 
-	/** Whether an entry that isn't met is worth a dial now; one that was dialled for too long is set aside. */
+	/** Whether to dial a peer that isn't connected; one that has been dialled for too long is skipped for a while. */
 	#mayDial(address: string, now: number): boolean {
-		if (now < (this.#setAsideUntil.get(address) ?? 0)) {
+		if (now < (this.#skippedUntil.get(address) ?? 0)) {
 			return false;
 		}
 
 		const dialledAt = this.#dialledAt.get(address);
-		if (dialledAt === undefined || now - dialledAt > dialMilliseconds + setAsideMilliseconds) {
+		if (dialledAt === undefined || now - dialledAt > dialMilliseconds + skipMilliseconds) {
 			this.#dialledAt.set(address, now);
 			return true;
 		}
@@ -108,7 +103,7 @@
 			return true;
 		}
 
-		this.#setAsideUntil.set(address, now + setAsideMilliseconds);
+		this.#skippedUntil.set(address, now + skipMilliseconds);
 		return false;
 	}
 
--- a/src/features/pool/node-state.ts
+++ b/src/features/pool/node-state.ts
@@ -1,13 +1,13 @@
-/** What an entry tells of itself. */
+/** The state that a node publishes to its peers. */
 import type {RoomShare} from '../execution/room-share.js';
 import type {WantedRoom} from '../execution/wanted-room.js';
 
-/** Sent to all other entries regularly, as a heartbeat. */
+/** Sent to all peers periodically, as the heartbeat. */
 export type NodeState = {
 	readonly isLeaving: boolean;
 	readonly routingVersion: number;
-	/** What its waiting tasks need at least; empty where none waits. */
+	/** The minimum needs of the waiting tasks; empty if none waits. */
 	readonly demand: readonly WantedRoom[];
-	/** The room of each target that takes new tasks. */
+	/** The free capacity of each target that accepts new tasks. */
 	readonly freeCapacity: readonly RoomShare[];
 };
--- a/src/features/pool/outbox.ts
+++ b/src/features/pool/outbox.ts
@@ -1,4 +1,4 @@
-/** Messages that wait to be sent together. */
+/** Batches outgoing messages. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {Member} from '../../runtime/peers/member.js';
@@ -10,7 +10,7 @@
 
 type Batch = {readonly member: Member; readonly acknowledgedEpoch: Epoch; messages: PoolMessage[]};
 
-/** What an outbox works with. */
+/** Dependencies of an outbox. */
 type OutboxParts = {
 	readonly network: PeerNetwork;
 	readonly channel: string;
@@ -19,15 +19,15 @@
 };
 
 /**
- * Sends all messages for one entry that come up while one event is handled in one frame, in their order. The tasks of a wide
- * job, or the ends that one report of a target lists, would otherwise cost a system call and a wake-up each. Of several states
- * only the last one goes.
+ * Sends all messages for one peer that are queued during one event in a single frame, in order. This saves a system call and a
+ * wake-up for each task of a wide job. Of several states only the last one is sent.
  */
 export class Outbox {
 	readonly #batches = new Map<MemberId, Batch>();
 
 	constructor(private readonly parts: OutboxParts) {}
 
+	/** Queues a message until the current event has been handled. */
 	put(member: Member, message: PoolMessage): void {
 		if (this.#batches.size === 0) {
 			this.parts.clock.defer(() => {
@@ -43,7 +43,7 @@
 		batch.messages.push(message);
 	}
 
-	/** A request keeps the epoch in which it was put here: what has waited from before a change leaves first, in a frame of its own. */
+	/** Messages keep the epoch in which they were queued: when it changes, the older messages are sent first, in a separate frame. */
 	#batchFor(member: Member): Batch {
 		const acknowledgedEpoch = this.parts.epochs.remote(member.id);
 		const known = this.#batches.get(member.id);
--- a/src/features/pool/peer-descriptor.ts
+++ b/src/features/pool/peer-descriptor.ts
@@ -1,5 +1,5 @@
-/** An entry that another one makes known. */
+/** A peer as described by another peer. */
 import type {Member} from '../../runtime/peers/member.js';
 
-/** `silentMilliseconds` is for how long it hadn't been heard by whoever introduces it. */
+/** `silentMilliseconds` is the time since the describing node last received anything from the member. */
 export type PeerDescriptor = {readonly member: Member; readonly silentMilliseconds: number};
--- a/src/features/pool/peer-descriptors.ts
+++ b/src/features/pool/peer-descriptors.ts
@@ -1,23 +1,23 @@
-/** Entries of which others told. */
+/** Peers that this node knows from other peers. */
 import type {MemberId} from '../../base/member-id.js';
 import type {PeerDescriptor} from './peer-descriptor.js';
 
-/** Above the entries that any fleet has; those of earlier lives go first. */
-const limit = 1000;
+/** Well above the size of any fleet; the oldest descriptors are dropped first. */
+const maximumDescriptors = 1000;
 
-/** Keeps where entries listen that this one may have to reach, though it never met them. */
+/** Stores the addresses of peers that this node may have to contact without having met them. */
 export class PeerDescriptors {
-	readonly #introductions = new Map<MemberId, PeerDescriptor>();
+	readonly #descriptors = new Map<MemberId, PeerDescriptor>();
 
-	add(introduction: PeerDescriptor): void {
-		this.#introductions.set(introduction.member.id, introduction);
-		const [oldest] = this.#introductions.keys();
-		if (this.#introductions.size > limit) {
-			this.#introductions.delete(oldest!);
+	add(descriptor: PeerDescriptor): void {
+		this.#descriptors.set(descriptor.member.id, descriptor);
+		const [oldest] = this.#descriptors.keys();
+		if (this.#descriptors.size > maximumDescriptors) {
+			this.#descriptors.delete(oldest!);
 		}
 	}
 
 	get(id: MemberId): PeerDescriptor | undefined {
-		return this.#introductions.get(id);
+		return this.#descriptors.get(id);
 	}
 }
--- a/src/features/pool/peer-endpoint.ts
+++ b/src/features/pool/peer-endpoint.ts
@@ -1,7 +1,7 @@
-/** Where an entry listens for its peers. */
+/** The address at which a node accepts connections from its peers. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 
-/** The zone is unknown for an address that comes from the settings, until the entry there was met. */
+/** The zone of an address from the settings is unknown until the node there has been met. */
 export type PeerEndpoint = {
 	/** IP and port. */
 	readonly address: string;
--- a/src/features/pool/pool-connections.ts
+++ b/src/features/pool/pool-connections.ts
@@ -1,4 +1,4 @@
-/** How often this entry and the others hear of each other, and which connections it keeps. */
+/** The heartbeat timings between this node and its peers, and the connections it keeps. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import {rankByKey} from '../../base/rank-by-key.js';
@@ -9,26 +9,27 @@
 import type {PoolMember} from './pool-member.js';
 import {fullMeshLimit} from './full-mesh-limit.js';
 
-/** How often it's looked which neighbours don't answer, where nothing else has changed: half of the time that a dial may take. */
-const watchMilliseconds = 500;
-/** So many of its zone watch over an entry: one of them may be gone with it, and one may be slow. */
+/** Interval of the checks for unresponsive neighbours when nothing else has changed: half of the dial timeout. */
+const refreshMilliseconds = 500;
+/** Peers of its zone that monitor a node: one may be lost together with it, and one may be slow. */
 const monitorsPerNode = 3;
-/** What the links depend on. */
+
+/** Dependencies of the connections. */
 type PoolConnectionsParts = {
 	readonly network: PeerNetwork;
 	readonly members: () => Iterable<PoolMember>;
-	/** Entries that run something for this one, or that this one runs something for. */
+	/** Peers that run tasks for this node, or that this node runs tasks for. */
 	readonly peersInUse: () => ReadonlySet<MemberId>;
-	/** Tells an entry the state of this one, and whether it's its watcher. */
-	readonly tell: (member: PoolMember) => void;
+	/** Sends a peer this node's state, and whether the peer monitors it. */
+	readonly sendState: (member: PoolMember) => void;
 	readonly clock: Clock;
 };
 
-/** Sets the rhythms of all members, and has the network keep the connections that are worth it. */
+/** Sets the heartbeat timings of all members, and has the network maintain the connections that are needed. */
 export class PoolConnections {
 	readonly #neighbours: Neighbours;
 	#watched: ReadonlySet<string> = new Set();
-	#watchedAt = Number.NEGATIVE_INFINITY;
+	#refreshedAt = Number.NEGATIVE_INFINITY;
 
 	constructor(private readonly parts: PoolConnectionsParts) {
 		const {network, clock} = parts;
@@ -36,87 +37,87 @@
 		this.#neighbours = new Neighbours({self: {address: peerAddress, zone}, clock});
 	}
 
-	/** All entries that are known, met or not. */
+	/** All known peers, connected or not. */
 	get known(): readonly PeerEndpoint[] {
 		return this.#neighbours.known;
 	}
 
-	/** Takes entries, and connects to those that become neighbours. */
-	add(entries: Iterable<PeerEndpoint>): void {
-		for (const entry of entries) {
-			this.#neighbours.add(entry);
+	/** Adds peers, and connects to those that become neighbours. */
+	add(endpoints: Iterable<PeerEndpoint>): void {
+		for (const endpoint of endpoints) {
+			this.#neighbours.add(endpoint);
 		}
 
-		this.#watch();
+		this.#refresh();
 	}
 
-	/** Sets how often each member is told and heard; looks after the connections where that, or the members, changed. */
+	/** Updates the heartbeat timings; refreshes the connections if the timings or the members have changed, or a check is due. */
 	update(): void {
 		const {members, peersInUse, clock} = this.parts;
-		const fleet = [...members()];
-		const inUse = fleet.length <= fullMeshLimit ? undefined : peersInUse();
-		let isDue = clock.now() - this.#watchedAt >= watchMilliseconds;
-		for (const known of fleet) {
-			const isClose = inUse?.has(known.member.id) ?? true;
-			known.sendTiming = timingOf(isClose, known.isMonitor);
-			const timing = timingOf(isClose, known.isMonitored);
+		const peers = [...members()];
+		const inUse = peers.length <= fullMeshLimit ? undefined : peersInUse();
+		let needsRefresh = clock.now() - this.#refreshedAt >= refreshMilliseconds;
+		for (const known of peers) {
+			const isActive = inUse?.has(known.member.id) ?? true;
+			known.sendTiming = timingOf(isActive, known.isMonitor);
+			const timing = timingOf(isActive, known.isMonitored);
 			if (timing !== known.expectedTiming) {
 				known.expectedTiming = timing;
 				known.timingChangedAt = clock.now();
-				isDue = true;
+				needsRefresh = true;
 			}
 		}
 
-		if (isDue) {
-			this.#watch();
+		if (needsRefresh) {
+			this.#refresh();
 		}
 	}
 
-	/** A member is gone: another one may have to take its place soon. */
-	noteLoss(): void {
-		this.#watchedAt = Number.NEGATIVE_INFINITY;
+	/** Makes the next update refresh the connections, since a lost member may have to be replaced. */
+	invalidate(): void {
+		this.#refreshedAt = Number.NEGATIVE_INFINITY;
 	}
 
 	/**
-	 * Connections to entries that are there and aren't in use are used as they are: the network makes them anew when they're
-	 * needed. Watched, they'd carry pings between their heartbeats, three times as many frames as those.
+	 * Connections to connected peers that aren't active are left out: the network restores them on demand, and pings on them would
+	 * outnumber the heartbeats.
 	 */
-	#watch(): void {
-		this.#watchedAt = this.parts.clock.now();
+	#refresh(): void {
+		this.#refreshedAt = this.parts.clock.now();
 		this.#chooseMonitors();
 		const met = new Set<string>();
-		const unused = new Set<string>();
+		const inactive = new Set<string>();
 		for (const {member, expectedTiming} of this.parts.members()) {
 			met.add(member.peerAddress);
 			if (expectedTiming !== heartbeats.active) {
-				unused.add(member.peerAddress);
+				inactive.add(member.peerAddress);
 			}
 		}
 
-		const watched = new Set([...this.#neighbours.choose(met), ...met].filter(address => !unused.has(address)));
+		const watched = new Set([...this.#neighbours.choose(met), ...met].filter(address => !inactive.has(address)));
 		if (!areEqual(watched, this.#watched)) {
 			this.#watched = watched;
 			this.parts.network.watch(watched);
 		}
 	}
 
-	/** The few of this zone that have to notice when this entry is gone. One that becomes a watcher, or ceases to be one, is told. */
+	/** Selects the monitors of this node in its zone, and informs peers whose role changes. */
 	#chooseMonitors(): void {
 		const {self} = this.parts.network;
-		const mates = [...this.parts.members()].filter(({member}) => member.zone === self.zone);
-		const monitors = new Set(rankByKey(self.peerAddress, mates, ({member}) => member.peerAddress).slice(0, monitorsPerNode));
-		for (const known of mates) {
+		const zoneMembers = [...this.parts.members()].filter(({member}) => member.zone === self.zone);
+		const monitors = new Set(rankByKey(self.peerAddress, zoneMembers, ({member}) => member.peerAddress).slice(0, monitorsPerNode));
+		for (const known of zoneMembers) {
 			const isMonitor = monitors.has(known);
 			if (isMonitor !== known.isMonitor) {
 				known.isMonitor = isMonitor;
-				this.parts.tell(known);
+				this.parts.sendState(known);
 			}
 		}
 	}
 }
 
-function timingOf(isClose: boolean, isMonitor: boolean) {
-	if (isClose) {
+function timingOf(isActive: boolean, isMonitor: boolean) {
+	if (isActive) {
 		return heartbeats.active;
 	}
 
--- a/src/features/pool/pool-frame.ts
+++ b/src/features/pool/pool-frame.ts
@@ -1,11 +1,12 @@
-/** What one entry of a pool sends to another at once. */
+/** A batch of pool messages with the epochs that they were sent in. */
 import type {Epoch} from './epoch.js';
 import type {PoolMessage} from './pool-message.js';
 
+/** Sent from one node to another as a unit. */
 export type PoolFrame = {
 	/** The sender's epoch for the receiver. */
 	readonly epoch: Epoch;
-	/** The receiver's epoch for the sender, as the sender had heard it when it asked for what the frame carries. */
+	/** The receiver's epoch for the sender, as last received by the sender when it queued the messages. */
 	readonly acknowledgedEpoch: Epoch;
 	readonly messages: readonly PoolMessage[];
 };
--- a/src/features/pool/pool-member.ts
+++ b/src/features/pool/pool-member.ts
@@ -1,31 +1,32 @@
-/** Another entry, as this one last heard of it. */
+/** The last known state of a peer. */
 import type {Member} from '../../runtime/peers/member.js';
 import type {RoomShare} from '../execution/room-share.js';
 import type {WantedRoom} from '../execution/wanted-room.js';
 import type {HeartbeatTiming} from './heartbeat-timing.js';
 
-/** A target's room, as it's known here. */
+/** The free capacity of a peer's target, as known to this node. */
 type TargetCapacity = Omit<RoomShare, 'room'> & {room: RoomShare['room']};
 
-/** `room` is what the member told last, less what was sent there since. */
+/** `freeCapacity` is what the peer last published, minus the needs of the tasks that were sent to it since. */
 export type PoolMember = {
 	readonly member: Member;
+	/** When this node last received anything from the peer, in milliseconds of its monotonic clock. */
 	heardAt: number;
-	/** How often this entry tells it of itself. */
+	/** The timing of the heartbeats that this node sends to the peer. */
 	sendTiming: HeartbeatTiming;
-	/** How often this entry expects to hear of it. */
+	/** The timing of the heartbeats that this node expects from the peer. */
 	expectedTiming: HeartbeatTiming;
-	/** When that changed last. */
+	/** When `expectedTiming` last changed. */
 	timingChangedAt: number;
-	/** Whether it's one of the few that have to notice this entry's loss soon. */
+	/** Whether the peer monitors this node. */
 	isMonitor: boolean;
-	/** Whether this entry is one of the few that have to notice its loss soon. */
+	/** Whether this node monitors the peer. */
 	isMonitored: boolean;
 	isLeaving: boolean;
 	routingVersion: number;
-	/** How often it was told of room here since it said last what it waits for. */
+	/** How many capacity announcements the peer has received since it last published its state. */
 	capacityUpdates: number;
-	/** What its waiting tasks need at least, on any entry's targets. */
+	/** The minimum needs of the peer's waiting tasks. */
 	demand: readonly WantedRoom[];
 	freeCapacity: TargetCapacity[];
 };
--- a/src/features/pool/pool-parts.ts
+++ b/src/features/pool/pool-parts.ts
@@ -1,4 +1,4 @@
-/** What a pool works with. */
+/** Dependencies of a pool. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {Journal} from '../../runtime/journal/journal.js';
@@ -6,10 +6,11 @@
 import type {PeerNetwork} from '../../runtime/peers/peer-network.js';
 import type {NodeState} from './node-state.js';
 
+/** What the owner of a pool provides. */
 export type PoolParts = {
 	readonly network: PeerNetwork;
 	readonly ownState: () => NodeState;
-	/** Entries that run something for this one, or that this one runs something for. */
+	/** Peers that run tasks for this node, or that this node runs tasks for. */
 	readonly peersInUse: () => ReadonlySet<MemberId>;
 	readonly pauses: PauseWatch;
 	readonly clock: Clock;
--- a/src/features/pool/pool.ts
+++ b/src/features/pool/pool.ts
@@ -1,4 +1,4 @@
-/** The entries that share their targets' room. */
+/** The nodes that share the capacity of their targets. */
 import type {Disposable} from '../../base/disposable.js';
 import {DisposableStore} from '../../base/disposable-store.js';
 import {Emitter} from '../../base/emitter.js';
@@ -21,17 +21,17 @@
 import type {PoolParts} from './pool-parts.js';
 import {StateBroadcaster} from './state-broadcaster.js';
 
-/** `isCurrent` is unset for what was sent in a former epoch: its sender was lost here since, or this entry stood still. */
+/** `isCurrent` is false for a message of a previous epoch: its sender has been lost here since, or this node has stalled. */
 type ReceivedPoolMessage = {readonly from: Member; readonly message: PoolMessage; readonly isCurrent: boolean};
 
 const channel = 'pool';
-/** How often it's looked which heartbeats are due, and who was silent for too long. */
+/** Interval of the checks for due heartbeats and timed-out peers. */
 const checkMilliseconds = 100;
 
-/** Sends this entry's state to all others, and keeps theirs. */
+/** Exchanges state with all peers and detects their loss. */
 export class Pool implements Disposable {
 	readonly #members = new Map<MemberId, PoolMember>();
-	/** Every life that was met: one that can't be heard may still hear, and has to be told to stop. */
+	/** Every incarnation ever met: one that is considered lost may still receive messages, such as requests to stop a run. */
 	readonly #everMet = new Map<MemberId, Member>();
 	readonly #descriptors = new PeerDescriptors();
 	readonly #store = new DisposableStore();
@@ -59,7 +59,7 @@
 			network,
 			members,
 			peersInUse,
-			tell: member => {
+			sendState: member => {
 				this.#broadcaster.sendTo(member);
 			},
 			clock,
@@ -82,36 +82,36 @@
 			this.#reconnect.fire(member.id);
 		}));
 		this.#store.add(network.onDidProveDead(id => {
-			this.#drop(id, 'its port refuses connections, or a newer life answers there');
+			this.#drop(id, 'its port refuses connections or a newer incarnation answers there');
 		}));
 	}
 
-	/** Messages of other entries, but for the entries that they know. */
+	/** Fires for each message from a peer except `entries`. */
 	get onDidReceive() {
 		return this.#message.event;
 	}
 
-	/** Fires once an entry is gone or was silent for too long, or has to be taken as such since this one was out of touch itself. */
+	/** Fires when a peer is gone or has timed out, and for every peer when this node itself has stalled. */
 	get onDidLoseMember() {
 		return this.#loseMember.event;
 	}
 
-	/** Fires with the cause when this entry stood still for so long that what it held may go on elsewhere. */
+	/** Fires with the cause when this node has stalled for so long that its peers may have taken over its work. */
 	get onDidStall() {
 		return this.#stall.event;
 	}
 
-	/** Fires when another entry has taken this one as lost, and this one hasn't noticed. */
+	/** Fires when a peer has declared this node lost without this node having noticed. */
 	get onDidDetectEviction() {
 		return this.#detectEviction.event;
 	}
 
-	/** Fires when a connection was made anew: messages on the former one may be lost. */
+	/** Fires when a connection has been re-established; messages on the previous one may be lost. */
 	get onDidReconnect() {
 		return this.#reconnect.event;
 	}
 
-	/** Fires after an entry told of its room. */
+	/** Fires after a peer has published its free capacity. */
 	get onDidChangeCapacity() {
 		return this.#changeCapacity.event;
 	}
@@ -120,17 +120,17 @@
 		return this.parts.network.self.id;
 	}
 
-	/** All entries that were heard lately, without this one. */
+	/** All live peers. */
 	get members(): Iterable<PoolMember> {
 		return this.#members.values();
 	}
 
-	/** Whether a member was heard so lately that new tasks may be sent there. */
+	/** Whether the last heartbeat of a member is recent enough to send it new tasks. */
 	isFresh({heardAt, expectedTiming}: PoolMember): boolean {
 		return this.parts.clock.now() - heardAt <= expectedTiming.staleAfterMilliseconds;
 	}
 
-	/** Whether an entry gave its last heartbeat, for as often as entries in use give one. */
+	/** Whether a peer has been heard within the limits of an active heartbeat. */
 	isResponsive(id: MemberId): boolean {
 		const known = this.#members.get(id);
 		return known !== undefined && this.parts.clock.now() - known.heardAt <= heartbeats.active.staleAfterMilliseconds;
@@ -145,11 +145,12 @@
 		}));
 	}
 
-	/** Takes entries that this one didn't know, and connects to those that become its neighbours. */
-	addPeers(entries: Iterable<PeerEndpoint>): void {
-		this.#connections.add(entries);
+	/** Adds peers, and connects to those that become neighbours. */
+	addPeers(endpoints: Iterable<PeerEndpoint>): void {
+		this.#connections.add(endpoints);
 	}
 
+	/** Sends a message to a peer that was met, even if it is considered lost; ignored for any other. */
 	send(to: MemberId, message: PoolMessage): void {
 		const member = this.#everMet.get(to);
 		if (member === undefined) {
@@ -163,7 +164,7 @@
 		}
 	}
 
-	/** Makes lives that were met known to others, by their ids. */
+	/** Returns descriptors of the given nodes, for peers that may not have met them; unknown ones are left out. */
 	describePeers(ids: Iterable<MemberId>): readonly PeerDescriptor[] {
 		const {network, clock} = this.parts;
 		return [...ids].flatMap(id => {
@@ -173,14 +174,14 @@
 		});
 	}
 
-	/** For how long an entry hadn't been heard by the one that introduced it here last. */
+	/** Milliseconds for which a peer had been silent when it was last described to this node; 0 if it never was. */
 	reportedSilence(id: MemberId): number {
 		return this.#descriptors.get(id)?.silentMilliseconds ?? 0;
 	}
 
 	/**
-	 * Whether an entry is heard, or may be: one that was introduced counts as heard now, and has to answer like any other. One that
-	 * was met and isn't heard any more is lost.
+	 * Whether a peer is a live member. A peer that is only known from a descriptor becomes a member, and then has to send heartbeats
+	 * like any other; one that was met before and lost doesn't.
 	 */
 	ensureMember(id: MemberId): boolean {
 		const introduced = this.#descriptors.get(id);
@@ -191,18 +192,19 @@
 		return this.#members.has(id);
 	}
 
+	/** Sends a message to all live peers. */
 	broadcast(message: PoolMessage): void {
 		for (const {member} of this.#members.values()) {
 			this.#outbox.put(member, message);
 		}
 	}
 
-	/** Tells all entries of a change, soon. */
+	/** Sends a changed state to all peers after a short delay. */
 	broadcastState(): void {
 		this.#broadcaster.broadcast();
 	}
 
-	/** Tells one entry how it is here, which it seems not to know. */
+	/** Sends one peer this node's state now. */
 	sendState(id: MemberId): void {
 		const known = this.#members.get(id);
 		if (known !== undefined) {
@@ -210,12 +212,12 @@
 		}
 	}
 
-	/** Tells the entries that are close that tasks wait here, soon. */
+	/** Announces to active and monitored peers that tasks wait here. */
 	announceDemand(): void {
 		this.#broadcaster.announceDemand();
 	}
 
-	/** Tells of a change of room, if anybody waits for room. */
+	/** Announces changed capacity if any peer waits for it. */
 	announceCapacity(): void {
 		this.#broadcaster.announceCapacity();
 	}
@@ -228,7 +230,18 @@
 		const {clock, journal} = this.parts;
 		const now = clock.now();
 		const known: PoolMember = {
-			member, heardAt: now, sendTiming: heartbeats.active, expectedTiming: heartbeats.active, timingChangedAt: now, isMonitor: false, isMonitored: false, capacityUpdates: 0, isLeaving: false, routingVersion: 0, demand: [], freeCapacity: [],
+			member,
+			heardAt: now,
+			sendTiming: heartbeats.active,
+			expectedTiming: heartbeats.active,
+			timingChangedAt: now,
+			isMonitor: false,
+			isMonitored: false,
+			capacityUpdates: 0,
+			isLeaving: false,
+			routingVersion: 0,
+			demand: [],
+			freeCapacity: [],
 		};
 		this.#everMet.set(member.id, member);
 		this.#members.set(member.id, known);
@@ -250,7 +263,7 @@
 		}
 
 		this.#members.get(from.id)!.heardAt = this.parts.clock.now();
-		// Before the messages: one of them may tell of runs that were stopped with the loss, which this entry would begin again.
+		// Must precede the messages: they may report runs that were stopped because of the loss, which this node would restart.
 		if (this.#epochs.observe(from.id, frame)) {
 			this.#detectEviction.fire();
 		}
@@ -281,7 +294,7 @@
 		}
 
 		if (message.kind === 'adopted') {
-			// The new owner has heard of this entry less often than the former one, and has to know soon that it lives.
+			// The new owner may have received fewer heartbeats from this node than the previous one.
 			this.sendState(from.id);
 		}
 
@@ -296,33 +309,33 @@
 		this.#message.fire({from, message, isCurrent});
 	}
 
-	/** The member is gone where a listener of an earlier message of the batch has found it so. */
+	/** The member is undefined if a listener for an earlier message of the batch has removed it. */
 	#handleState(known: PoolMember | undefined, {state, isForMonitor}: Extract<PoolMessage, {kind: 'state'}>, isCurrent: boolean): void {
 		if (known === undefined) {
 			return;
 		}
 
 		const hasNewDemand = known.demand.length === 0 && state.demand.length > 0;
-		// A request for room that was told in a former epoch would be refused: it may have waited in a cut.
+		// A request for capacity that was published in a previous epoch would be refused.
 		Object.assign(known, state, {isMonitored: isForMonitor, capacityUpdates: 0, freeCapacity: isCurrent ? state.freeCapacity : []});
 		this.#changeCapacity.fire();
 		if (hasNewDemand) {
-			// It may not know of room that is here since the last heartbeat.
+			// The peer may not know of capacity that became free after the last heartbeat.
 			this.announceCapacity();
 		}
 	}
 
-	/** A watcher misses an entry. One that was heard here since its last heartbeat to the watcher was due, or that is in use, stays. */
+	/** Drops a peer that its monitor reports as lost, unless the peer is in use or was heard here more recently. */
 	#handleReportedLoss(id: MemberId): void {
 		const known = this.#members.get(id);
 		if (known?.expectedTiming === heartbeats.idle && this.parts.clock.now() - known.heardAt > heartbeats.monitored.periodMilliseconds) {
-			this.#drop(id, 'missed by an entry that watches over it');
+			this.#drop(id, 'reported lost by a monitoring peer');
 		}
 	}
 
 	/**
-	 * Time that this entry's clock didn't count is part of the others' silence. After a pause each of them has to be heard within
-	 * its next heartbeat: its last ones may still be unread, and the time of day may just have been set.
+	 * Adds time that this node's clock didn't count to the silence of the peers. Each peer then has until its next heartbeat to be
+	 * heard: earlier ones may still be unread, or the system time may just have been set.
 	 */
 	#handlePause({milliseconds, counted}: Pause): void {
 		const now = this.parts.clock.now();
@@ -338,13 +351,10 @@
 		}
 	}
 
-	/**
-	 * What others had asked for before has to be asked for again: they have begun it elsewhere, or were lost without being
-	 * missed here.
-	 */
+	/** Invalidates all earlier requests of the peers, which may have restarted the work elsewhere or may be gone. */
 	#handleStall(milliseconds: number): void {
 		this.#epochs.recordPause();
-		this.#stall.fire(`stood still for ${Math.round(milliseconds)} ms`);
+		this.#stall.fire(`stalled for ${Math.round(milliseconds)} ms`);
 		for (const id of this.#members.keys()) {
 			this.#loseMember.fire(id);
 		}
@@ -362,7 +372,7 @@
 	#dropUnresponsive(): void {
 		const now = this.parts.clock.now();
 		for (const {member, heardAt, expectedTiming, timingChangedAt, isMonitored} of this.#members.values()) {
-			// One that has just become close had no reason to be heard more often before.
+			// A peer that has just become active was not expected to send frequent heartbeats before.
 			const silence = now - (expectedTiming === heartbeats.idle ? heardAt : Math.max(heardAt, timingChangedAt));
 			if (silence > expectedTiming.timeoutMilliseconds) {
 				this.#drop(member.id, `silent for ${Math.round(silence)} ms`);
@@ -376,7 +386,7 @@
 	#drop(id: MemberId, cause: string): void {
 		if (this.#members.delete(id)) {
 			this.#epochs.recordLoss(id);
-			this.#connections.noteLoss();
+			this.#connections.invalidate();
 			this.parts.journal.record('poolMemberLost', {member: id, cause});
 			this.#loseMember.fire(id);
 		}
--- a/src/features/pool/remote-runs.ts
+++ b/src/features/pool/remote-runs.ts
@@ -1,4 +1,4 @@
-/** Runs that other entries asked this one for. */
+/** Runs that peers have requested from this node. */
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
 import {DisposableStore} from '../../base/disposable-store.js';
@@ -15,33 +15,33 @@
 import type {PoolMessage} from './pool-message.js';
 
 /**
- * How long after its end a run is remembered: its requester repeats the request on a new connection if it has missed the end.
- * A requester that was silent for longer than it takes to be lost is refused by its epoch.
+ * How long a finished run is kept, so that a request that is repeated on a new connection gets the outcome instead of a second run.
+ * Requests from before a loss of the requester are rejected by their epoch.
  */
-const rememberedMilliseconds = 30_000;
-/** How long after it a run's end is told again on a new connection: the requester may have missed it. */
-const repeatedMilliseconds = 3000;
+const retentionMilliseconds = 30_000;
+/** How long after the end of a run its outcome is sent again on a new connection. */
+const resendMilliseconds = 3000;
 
-type Remembered = {
+type TrackedRun = {
 	readonly requester: MemberId;
 	readonly requestedAt: number;
-	/** What its requester has to know: that it was adopted, then how it ended. */
-	lastWord: PoolMessage | undefined;
+	/** The latest message to the requester: the adoption, then the outcome. */
+	lastMessage: PoolMessage | undefined;
 	endedAt: number | undefined;
-	/** Whether its requester is known to know that it runs here. */
-	isAdoptionHeard: boolean;
+	/** Whether the requester is known to have learned that the run is on this node. */
+	isAdoptionAcknowledged: boolean;
 };
 
-/** A request for a task that still runs here for somebody else: its caller has submitted again. */
+/** A request for a task that still runs here for another requester, because the caller has resubmitted the job. */
 type WaitingRequest = {readonly from: MemberId; readonly attempt: number};
 
 /**
- * Starts what other entries ask for and reports how it ended. Requests and reports are sent again when a connection was
- * lost; a request that was seen before isn't started again.
+ * Starts runs for peers and reports their outcomes. Requests and reports are sent again after a lost connection; a repeated request
+ * starts nothing.
  */
 export class RemoteRuns implements Disposable {
 	readonly #store = new DisposableStore();
-	readonly #remembered = new Map<string, Remembered>();
+	readonly #runs = new Map<string, TrackedRun>();
 	readonly #waiting = new Map<TaskId, WaitingRequest[]>();
 
 	constructor(private readonly pool: Pool, private readonly executor: Executor, private readonly clock: Clock, private readonly journal: Journal) {
@@ -62,20 +62,20 @@
 		}));
 		this.#store.add(executor.onWillRelease(({requester, request}) => {
 			this.#forgetAdoption(request);
-			// Its entry may be gone. Without an owner the run would go on for the rest of its lease, beside the caller's next submission.
+			// The requester may be gone, and the run would then continue until its lease expires, next to a resubmission by the caller.
 			if (requester !== pool.self && !pool.isResponsive(requester)) {
-				executor.stop(request.task, request.attempt, 'its entry was not heard when the target changed hands');
+				executor.stop(request.task, request.attempt, 'requester not responsive when the target changed owner');
 			}
 		}));
 		this.#store.add(pool.onDidLoseMember(member => {
-			// The entry's job may be submitted again elsewhere: nothing of it may run beside that.
-			executor.stopRunsOf(member, 'its entry is lost');
+			// The caller may resubmit the job elsewhere, and its tasks must not run twice at the same time.
+			executor.stopRunsOf(member, 'requester lost');
 			for (const task of this.#waiting.keys()) {
-				this.#stopWaiting(member, task);
+				this.#cancelWaiting(member, task);
 			}
 		}));
 		this.#store.add(pool.onDidReconnect(member => {
-			this.#repeatReports(member);
+			this.#resendReports(member);
 		}));
 	}
 
@@ -95,7 +95,7 @@
 		}
 
 		if (message.kind === 'adoptionHeard') {
-			this.#noteHeard(from, message);
+			this.#recordAcknowledgement(from, message);
 			return;
 		}
 
@@ -107,32 +107,32 @@
 	#adopt({requester, request, handedOverAt}: Adoption): void {
 		const {task, attempt} = request;
 		if (!this.pool.ensureMember(requester)) {
-			// It can't be told that the run goes on, and begins the task elsewhere once the lease should have passed.
-			this.executor.stop(task, attempt, 'its entry is not heard here');
+			// The requester can't be notified, and will start the task elsewhere when the lease expires.
+			this.executor.stop(task, attempt, 'requester not reachable');
 			return;
 		}
 
 		const now = this.clock.now();
 		const adopted: PoolMessage = {kind: 'adopted', task, attempt};
-		const run: Remembered = {
-			requester, requestedAt: now, lastWord: adopted, endedAt: undefined, isAdoptionHeard: false,
+		const run: TrackedRun = {
+			requester, requestedAt: now, lastMessage: adopted, endedAt: undefined, isAdoptionAcknowledged: false,
 		};
-		this.#remembered.set(runKeyOf(request), run);
+		this.#runs.set(runKeyOf(request), run);
 		this.pool.send(requester, adopted);
-		// The silence before the handover counts: the entry would have been lost so long after it by the former owner.
+		// Includes the silence before the handover, after which the previous owner would have declared the requester lost.
 		const silenceLeft = heartbeats.active.timeoutMilliseconds - this.pool.reportedSilence(requester);
 		this.clock.schedule(Math.max(0, handedOverAt + silenceLeft - now), () => {
-			if (!run.isAdoptionHeard && run.endedAt === undefined) {
-				this.executor.stop(task, attempt, 'its entry has not heard of its next owner');
+			if (!run.isAdoptionAcknowledged && run.endedAt === undefined) {
+				this.executor.stop(task, attempt, 'requester has not acknowledged the new owner');
 			}
 		});
 	}
 
 	#run(from: MemberId, request: RunRequest): void {
 		const key = runKeyOf(request);
-		const known = this.#remembered.get(key);
+		const known = this.#runs.get(key);
 		if (known?.requester === from) {
-			this.#repeat(known);
+			this.#resend(known);
 			return;
 		}
 
@@ -142,66 +142,65 @@
 		}
 
 		if (known !== undefined) {
-			this.#tellSuperseded({from, attempt: request.attempt}, request.task);
+			this.#reportSuperseded({from, attempt: request.attempt}, request.task);
 			return;
 		}
 
-		this.#forgetOld();
-		this.#remembered.set(key, {
-			requester: from, requestedAt: this.clock.now(), lastWord: undefined, endedAt: undefined, isAdoptionHeard: true,
+		this.#removeExpired();
+		this.#runs.set(key, {
+			requester: from, requestedAt: this.clock.now(), lastMessage: undefined, endedAt: undefined, isAdoptionAcknowledged: true,
 		});
 		if (this.executor.start(request, from) === undefined) {
 			this.journal.record('runRefused', {task: request.task, attempt: request.attempt, requester: from});
 			this.#report({
 				requester: from, task: request.task, attempt: request.attempt, outcome: {kind: 'refused', cause: 'noRoom'},
 			});
-			// Others have filled what it was told of. With the old picture it would send the task to the next full target here: in
-			// the first second after a loss of all entries three of four tasks that were sent were refused.
+			// The requester's view of the free capacity is outdated; without an update it would send the task to the next full target.
 			this.pool.sendState(from);
 		}
 	}
 
-	/** Whether the same entry has asked for a run before, whose end it's told. */
+	/** Whether the same peer has already requested this run. */
 	#isKnown(from: MemberId, request: RunRequest): boolean {
-		return this.#remembered.get(runKeyOf(request))?.requester === from;
+		return this.#runs.get(runKeyOf(request))?.requester === from;
 	}
 
-	/** What its sender had asked for was stopped when the epoch changed; its callers may have submitted elsewhere since. */
+	/** Refuses a request of a previous epoch: the sender's runs were stopped, and its callers may have resubmitted elsewhere. */
 	#refuseOutdated(from: MemberId, {task, attempt}: RunRequest): void {
 		this.journal.record('requestOutdated', {task, attempt, requester: from});
-		this.#refuseForGood(from, {task, attempt}, 'outdated');
+		this.#refusePermanently(from, {task, attempt}, 'outdated');
 	}
 
-	/** A request that was sent again after a lost connection; who repeats it here knows of an adoption. */
-	#repeat(known: Remembered): void {
-		known.isAdoptionHeard = true;
-		if (known.lastWord !== undefined) {
-			this.pool.send(known.requester, known.lastWord);
+	/** Answers a repeated request. A requester that repeats it here knows of the adoption. */
+	#resend(known: TrackedRun): void {
+		known.isAdoptionAcknowledged = true;
+		if (known.lastMessage !== undefined) {
+			this.pool.send(known.requester, known.lastMessage);
 		}
 	}
 
-	/** The next owner tells of it: told again from here, it would have the requester order the wrong one. */
+	/** Forgets an adoption whose run is handed over again: only the new owner may announce it to the requester. */
 	#forgetAdoption(request: RunRequest): void {
-		const known = this.#remembered.get(runKeyOf(request));
-		if (known?.lastWord?.kind === 'adopted') {
-			known.lastWord = undefined;
+		const known = this.#runs.get(runKeyOf(request));
+		if (known?.lastMessage?.kind === 'adopted') {
+			known.lastMessage = undefined;
 		}
 	}
 
-	#noteHeard(from: MemberId, run: {readonly task: TaskId; readonly attempt: number}): void {
-		const known = this.#remembered.get(runKeyOf(run));
+	#recordAcknowledgement(from: MemberId, run: {readonly task: TaskId; readonly attempt: number}): void {
+		const known = this.#runs.get(runKeyOf(run));
 		if (known?.requester === from) {
-			known.isAdoptionHeard = true;
+			known.isAdoptionAcknowledged = true;
 		}
 	}
 
 	#wait(from: MemberId, {task, attempt}: RunRequest): void {
-		this.#stopWaiting(from, task);
+		this.#cancelWaiting(from, task);
 		this.#waiting.set(task, [...this.#waiting.get(task) ?? [], {from, attempt}]);
 	}
 
-	/** Its sender takes a higher attempt: the target may know this one as ended. */
-	#tellSuperseded({from, attempt}: WaitingRequest, task: TaskId): void {
+	/** Makes the requester retry with a higher attempt, since the target may know this one as finished. */
+	#reportSuperseded({from, attempt}: WaitingRequest, task: TaskId): void {
 		this.pool.send(from, {
 			kind: 'report', task, attempt, outcome: {kind: 'refused', cause: 'superseded'},
 		});
@@ -213,27 +212,27 @@
 		}
 
 		for (const request of this.#waiting.get(task) ?? []) {
-			this.#tellSuperseded(request, task);
+			this.#reportSuperseded(request, task);
 		}
 
 		this.#waiting.delete(task);
 	}
 
 	#stop(from: MemberId, {task, attempt, cause}: Extract<PoolMessage, {kind: 'stop'}>): void {
-		const known = this.#remembered.get(runKeyOf({task, attempt}));
+		const known = this.#runs.get(runKeyOf({task, attempt}));
 		if (known !== undefined && known.requester !== from) {
-			this.#stopWaiting(from, task);
+			this.#cancelWaiting(from, task);
 			return;
 		}
 
 		if (known === undefined) {
-			this.#refuseForGood(from, {task, attempt}, 'superseded');
+			this.#refusePermanently(from, {task, attempt}, 'superseded');
 		} else {
 			this.executor.stop(task, attempt, cause);
 		}
 	}
 
-	#stopWaiting(from: MemberId, task: TaskId): void {
+	#cancelWaiting(from: MemberId, task: TaskId): void {
 		const others = (this.#waiting.get(task) ?? []).filter(waiting => waiting.from !== from);
 		if (others.length === 0) {
 			this.#waiting.delete(task);
@@ -242,16 +241,16 @@
 		}
 	}
 
-	/** Remembered as the attempt's end: the request may come after its stop, or be repeated in the present epoch. */
-	#refuseForGood(from: MemberId, {task, attempt}: {readonly task: TaskId; readonly attempt: number}, cause: 'outdated' | 'superseded'): void {
+	/** Stores the refusal as the outcome, since the request may arrive after its stop or be repeated in the current epoch. */
+	#refusePermanently(from: MemberId, {task, attempt}: {readonly task: TaskId; readonly attempt: number}, cause: 'outdated' | 'superseded'): void {
 		const report: PoolMessage = {
 			kind: 'report', task, attempt, outcome: {kind: 'refused', cause},
 		};
 		const key = runKeyOf({task, attempt});
 		const now = this.clock.now();
-		if (!this.#remembered.has(key)) {
-			this.#remembered.set(key, {
-				requester: from, requestedAt: now, lastWord: report, endedAt: now, isAdoptionHeard: true,
+		if (!this.#runs.has(key)) {
+			this.#runs.set(key, {
+				requester: from, requestedAt: now, lastMessage: report, endedAt: now, isAdoptionAcknowledged: true,
 			});
 		}
 
@@ -267,37 +266,37 @@
 		const report: PoolMessage = {
 			kind: 'report', task, attempt, outcome,
 		};
-		const known = this.#remembered.get(runKeyOf({task, attempt}));
+		const known = this.#runs.get(runKeyOf({task, attempt}));
 		if (known !== undefined) {
-			known.lastWord = report;
+			known.lastMessage = report;
 			known.endedAt ??= this.clock.now();
 		}
 
 		this.pool.send(requester, report);
 	}
 
-	#repeatReports(member: MemberId): void {
-		this.#forgetOld();
+	#resendReports(member: MemberId): void {
+		this.#removeExpired();
 		const now = this.clock.now();
-		for (const {requester, lastWord, endedAt} of this.#remembered.values()) {
-			const mayBeMissed = endedAt === undefined || now - endedAt < repeatedMilliseconds;
-			if (requester === member && lastWord !== undefined && mayBeMissed) {
-				this.pool.send(member, lastWord);
+		for (const {requester, lastMessage, endedAt} of this.#runs.values()) {
+			const mayBeLost = endedAt === undefined || now - endedAt < resendMilliseconds;
+			if (requester === member && lastMessage !== undefined && mayBeLost) {
+				this.pool.send(member, lastMessage);
 			}
 		}
 	}
 
-	/** Insertion order is age. */
-	#forgetOld(): void {
+	/** The map is ordered by age. */
+	#removeExpired(): void {
 		const now = this.clock.now();
-		for (const [key, {requestedAt, endedAt}] of this.#remembered) {
-			if (now - requestedAt < rememberedMilliseconds) {
+		for (const [key, {requestedAt, endedAt}] of this.#runs) {
+			if (now - requestedAt < retentionMilliseconds) {
 				return;
 			}
 
-			const isForgotten = endedAt !== undefined && now - endedAt >= rememberedMilliseconds;
-			if (isForgotten || now - requestedAt > 10 * rememberedMilliseconds) {
-				this.#remembered.delete(key);
+			const isExpired = endedAt !== undefined && now - endedAt >= retentionMilliseconds;
+			if (isExpired || now - requestedAt > 10 * retentionMilliseconds) {
+				this.#runs.delete(key);
 			}
 		}
 	}
--- a/src/features/pool/state-broadcaster.ts
+++ b/src/features/pool/state-broadcaster.ts
@@ -1,4 +1,4 @@
-/** When this entry tells its state, and to whom. */
+/** Decides when this node sends its state, and to which peers. */
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
 import type {NodeState} from './node-state.js';
@@ -7,45 +7,36 @@
 import {countEligibleTargets} from './count-eligible-targets.js';
 import type {PoolMember} from './pool-member.js';
 
-/** A change that all entries have to know waits so long for others of its kind. */
-const soonMilliseconds = 20;
+/** Delay before a change is broadcast, so that changes in quick succession are sent together. */
+const broadcastDelayMilliseconds = 20;
+/** Shortest interval between two announcements of new capacity. A slot stays idle until it has been announced, so this is short. */
+const newCapacityMilliseconds = 5;
 /**
- * New room is told within so long, and only while some entry waits for such room; else the heartbeat tells it. In a burst a place
- * that becomes free stands idle for as long: with 20 ms that was a fifth of its time, with tasks of 60 to 200 ms, while the
- * logs of its targets' owners showed two such places for each waiting task.
+ * Bounds on the interval after which unused capacity is announced again, to the next waiting peers. Between them it is proportional
+ * to the number of announcements and to the fleet's size, which limits the messages that each node sends and receives.
  */
-const newRoomMilliseconds = 5;
+const sameCapacityShortestMilliseconds = 5;
+const sameCapacityLongestMilliseconds = 20;
+/** Part of that interval for each pair of a receiver and a peer. */
+const sameCapacityMillisecondsPerPair = 0.42;
+/** Shortest interval between two announcements of demand, for each receiver: a node under load starts and stops waiting all the time. */
+const demandMillisecondsPerReceiver = 1;
 /**
- * Room that nobody took is told again, to the next ones: those who were told may have found other room. How soon depends on
- * how many were told and how many entries do the same, so that no entry sends or receives more than some 400 a second; with
- * 20 ms for every fleet the worth of three days was 0.011 lower than with 5 ms for every fleet.
+ * Limits on the receivers of one capacity announcement, in total and for each eligible target. Waiting peers are served in
+ * rotation, since all but one would be refused if the same capacity were offered to all. Two peers for each target allow for
+ * one that has found capacity elsewhere.
  */
-const sameRoomShortest = 5;
-const sameRoomLongest = 20;
-/** For each entry that was told and each that there is. */
-const sameRoomMillisecondsForEach = 0.42;
+const receiversPerAnnouncement = 7;
+const receiversPerTarget = 2;
 /**
- * That tasks begin to wait here is told no sooner after the last state than so long for each entry that's told: an entry under
- * load begins and ceases to wait all the time, and a large fleet would be told by all of its entries.
+ * How many capacity announcements a peer gets after it has published its demand, until it publishes its state again. By then most
+ * of its tasks have been placed.
  */
-const waitingMillisecondsForEach = 1;
-/**
- * A change of room is told to so many of those that wait, by turns, and to no more than twice as many as it has places for:
- * the same room isn't offered to everybody, since all but one would be refused. One that is told may have found room
- * elsewhere meanwhile, hence the double. The messages of an overloaded fleet don't grow with the square of its size.
- */
-const toldAtOnce = 7;
-const toldForPlace = 2;
-/**
- * So often an entry is told of room after it said that tasks wait there, until it says so again. Most tasks have found room long
- * before the next heartbeat of an entry that isn't in use, a second later in a large fleet. At three quarters of the load that
- * takes a third of the frames away, at nine tenths a fifth, and leaves the waits as they are (counted in memory, 39 entries).
- */
-const updatesPerDemand = 2;
-/** Who was told so lately isn't told again with every message. */
-const alongMilliseconds = 50;
+const announcementsPerDemand = 2;
+/** A peer that has received the state within this time doesn't get it along with other messages. */
+const piggybackMilliseconds = 50;
 
-/** What a teller works with. */
+/** Dependencies of a state broadcaster. */
 type StateBroadcasterParts = {
 	readonly members: () => Iterable<PoolMember>;
 	readonly ownState: () => NodeState;
@@ -53,151 +44,151 @@
 	readonly clock: Clock;
 };
 
-/** Sends heartbeats, and changes between them. */
+/** Sends heartbeats, and state changes between them. */
 export class StateBroadcaster implements Disposable {
-	/** When each entry was told last. */
-	readonly #toldAt = new WeakMap<PoolMember, number>();
-	#toldCloseAt = Number.NEGATIVE_INFINITY;
-	#changeToldAt = Number.NEGATIVE_INFINITY;
-	#toldUpTo = 0;
-	#sameRoomDue = 0;
-	/** How many places the last entries were told of; fewer since they were taken. */
-	#placesTold = 0;
-	#room: {readonly dueAt: number; readonly timer: Disposable} | undefined;
-	#pendingAll: Disposable | undefined;
-	#pendingWaiting: Disposable | undefined;
+	/** When the state was last sent to each peer. */
+	readonly #sentAt = new WeakMap<PoolMember, number>();
+	#demandAnnouncedAt = Number.NEGATIVE_INFINITY;
+	#capacityAnnouncedAt = Number.NEGATIVE_INFINITY;
+	#rotation = 0;
+	#repeatDueAt = 0;
+	/** How many eligible targets were last announced, at most the number that is left of them. */
+	#announcedTargets = 0;
+	#pendingCapacity: {readonly dueAt: number; readonly timer: Disposable} | undefined;
+	#pendingBroadcast: Disposable | undefined;
+	#pendingDemand: Disposable | undefined;
 
 	constructor(private readonly parts: StateBroadcasterParts) {}
 
-	/** Sends the heartbeats that are due within the given time; whoever was told since the last one needs none. */
-	sendHeartbeats(leewayMilliseconds: number): void {
-		const soon = this.parts.clock.now() + leewayMilliseconds;
-		this.#tell([...this.parts.members()].filter(member => {
+	/** Sends the heartbeats that are due within the given time. Any state that was sent counts as a heartbeat. */
+	sendHeartbeats(toleranceMilliseconds: number): void {
+		const deadline = this.parts.clock.now() + toleranceMilliseconds;
+		this.#send([...this.parts.members()].filter(member => {
 			const {periodMilliseconds} = member.sendTiming;
-			return soon - this.#lastToldAt(member) >= periodMilliseconds;
+			return deadline - this.#lastSentAt(member) >= periodMilliseconds;
 		}));
 	}
 
-	/** Tells one entry now. */
+	/** Sends the state to one peer now. */
 	sendTo(member: PoolMember): void {
-		this.#tell([member]);
+		this.#send([member]);
 	}
 
-	/** Lets the state go along with a message that is sent anyway. */
+	/** Sends the state along with another message, unless the peer has a recent one. */
 	piggyback(member: PoolMember): void {
-		if (this.parts.clock.now() - this.#lastToldAt(member) >= alongMilliseconds) {
-			this.#tell([member]);
+		if (this.parts.clock.now() - this.#lastSentAt(member) >= piggybackMilliseconds) {
+			this.#send([member]);
 		}
 	}
 
-	/** Tells all entries of a change, soon. */
+	/** Sends a changed state to all peers after a short delay. */
 	broadcast(): void {
-		this.#pendingAll ??= this.parts.clock.schedule(soonMilliseconds, () => {
-			this.#pendingAll = undefined;
-			this.#tell([...this.parts.members()]);
+		this.#pendingBroadcast ??= this.parts.clock.schedule(broadcastDelayMilliseconds, () => {
+			this.#pendingBroadcast = undefined;
+			this.#send([...this.parts.members()]);
 		});
 	}
 
-	/** Tells the entries that are close that tasks wait here, soon. */
+	/** Announces to active and monitored peers that tasks wait here. */
 	announceDemand(): void {
-		const {length} = this.#close;
-		const due = this.#toldCloseAt + (length * waitingMillisecondsForEach) - this.parts.clock.now();
-		this.#pendingWaiting ??= this.parts.clock.schedule(Math.max(0, due), () => {
-			this.#pendingWaiting = undefined;
-			this.#toldCloseAt = this.parts.clock.now();
-			this.#tell(this.#close);
+		const {length} = this.#nonIdle;
+		const due = this.#demandAnnouncedAt + (length * demandMillisecondsPerReceiver) - this.parts.clock.now();
+		this.#pendingDemand ??= this.parts.clock.schedule(Math.max(0, due), () => {
+			this.#pendingDemand = undefined;
+			this.#demandAnnouncedAt = this.parts.clock.now();
+			this.#send(this.#nonIdle);
 		});
 	}
 
-	/** Tells of a change of room, if anybody waits for room. */
+	/** Announces changed capacity if any peer waits for it. */
 	announceCapacity(): void {
-		const dueAt = this.#changeToldAt + newRoomMilliseconds;
-		if (this.#room !== undefined && this.#room.dueAt <= dueAt) {
+		const dueAt = this.#capacityAnnouncedAt + newCapacityMilliseconds;
+		if (this.#pendingCapacity !== undefined && this.#pendingCapacity.dueAt <= dueAt) {
 			return;
 		}
 
 		for (const member of this.parts.members()) {
 			if (isWaiting(member)) {
-				this.#scheduleRoom(dueAt);
+				this.#scheduleCapacity(dueAt);
 				return;
 			}
 		}
 	}
 
 	dispose(): void {
-		this.#room?.timer.dispose();
-		this.#pendingAll?.dispose();
-		this.#pendingWaiting?.dispose();
+		this.#pendingCapacity?.timer.dispose();
+		this.#pendingBroadcast?.dispose();
+		this.#pendingDemand?.dispose();
 	}
 
-	get #close(): readonly PoolMember[] {
+	get #nonIdle(): readonly PoolMember[] {
 		return [...this.parts.members()].filter(({sendTiming}) => sendTiming !== heartbeats.idle);
 	}
 
-	#lastToldAt(member: PoolMember): number {
-		return this.#toldAt.get(member) ?? Number.NEGATIVE_INFINITY;
+	#lastSentAt(member: PoolMember): number {
+		return this.#sentAt.get(member) ?? Number.NEGATIVE_INFINITY;
 	}
 
-	#tell(told: readonly PoolMember[]): void {
-		if (told.length === 0) {
+	#send(receivers: readonly PoolMember[]): void {
+		if (receivers.length === 0) {
 			return;
 		}
 
 		const {ownState, outbox, clock} = this.parts;
 		const state = ownState();
-		for (const known of told) {
-			this.#toldAt.set(known, clock.now());
+		for (const known of receivers) {
+			this.#sentAt.set(known, clock.now());
 			outbox.put(known.member, {kind: 'state', state, isForMonitor: known.isMonitor});
 		}
 	}
 
-	/** In the place of a later look, if there's one. */
-	#scheduleRoom(dueAt: number): void {
-		this.#room?.timer.dispose();
+	/** Replaces the pending announcement. */
+	#scheduleCapacity(dueAt: number): void {
+		this.#pendingCapacity?.timer.dispose();
 		const timer = this.parts.clock.schedule(Math.max(0, dueAt - this.parts.clock.now()), () => {
-			this.#room = undefined;
-			this.#tellRoomNow();
+			this.#pendingCapacity = undefined;
+			this.#announceCapacityNow();
 		});
-		this.#room = {dueAt, timer};
+		this.#pendingCapacity = {dueAt, timer};
 	}
 
-	#tellRoomNow(): void {
+	#announceCapacityNow(): void {
 		const {members, ownState, clock} = this.parts;
 		const state = ownState();
-		const fleet = [...members()];
-		const offers = fleet.filter(member => isWaiting(member)).map(member => ({member, places: countEligibleTargets(member.demand, state.freeCapacity)})).filter(({places}) => places > 0);
-		const places = Math.max(0, ...offers.map(offer => offer.places));
-		const isNew = places > this.#placesTold;
-		this.#placesTold = Math.min(this.#placesTold, places);
-		if (places === 0) {
+		const peers = [...members()];
+		const candidates = peers.filter(member => isWaiting(member)).map(member => ({member, targets: countEligibleTargets(member.demand, state.freeCapacity)})).filter(({targets}) => targets > 0);
+		const targets = Math.max(0, ...candidates.map(candidate => candidate.targets));
+		const isNew = targets > this.#announcedTargets;
+		this.#announcedTargets = Math.min(this.#announcedTargets, targets);
+		if (targets === 0) {
 			return;
 		}
 
-		if (!isNew && this.#sameRoomDue > clock.now()) {
-			this.#scheduleRoom(this.#sameRoomDue);
+		if (!isNew && this.#repeatDueAt > clock.now()) {
+			this.#scheduleCapacity(this.#repeatDueAt);
 			return;
 		}
 
-		const told = Math.min(toldAtOnce, toldForPlace * places, offers.length);
-		const pause = told * fleet.length * sameRoomMillisecondsForEach;
-		this.#placesTold = places;
-		this.#changeToldAt = clock.now();
-		this.#sameRoomDue = clock.now() + Math.min(sameRoomLongest, Math.max(sameRoomShortest, pause));
-		this.#tellByTurns(offers.map(({member}) => member), told);
-		this.#scheduleRoom(this.#sameRoomDue);
+		const receivers = Math.min(receiversPerAnnouncement, receiversPerTarget * targets, candidates.length);
+		const interval = receivers * peers.length * sameCapacityMillisecondsPerPair;
+		this.#announcedTargets = targets;
+		this.#capacityAnnouncedAt = clock.now();
+		this.#repeatDueAt = clock.now() + Math.min(sameCapacityLongestMilliseconds, Math.max(sameCapacityShortestMilliseconds, interval));
+		this.#sendInRotation(candidates.map(({member}) => member), receivers);
+		this.#scheduleCapacity(this.#repeatDueAt);
 	}
 
-	#tellByTurns(waiting: readonly PoolMember[], count: number): void {
-		const told = Array.from({length: count}, (_, turn) => waiting[(this.#toldUpTo + turn + 1) % waiting.length]!);
-		this.#toldUpTo += count;
-		for (const member of told) {
+	#sendInRotation(waiting: readonly PoolMember[], count: number): void {
+		const receivers = Array.from({length: count}, (_, index) => waiting[(this.#rotation + index + 1) % waiting.length]!);
+		this.#rotation += count;
+		for (const member of receivers) {
 			member.capacityUpdates += 1;
 		}
 
-		this.#tell(told);
+		this.#send(receivers);
 	}
 }
 
 function isWaiting({demand, capacityUpdates}: PoolMember): boolean {
-	return demand.length > 0 && capacityUpdates < updatesPerDemand;
+	return demand.length > 0 && capacityUpdates < announcementsPerDemand;
 }
--- a/test/entries/edge/pooled-entry-ownership.test.ts
+++ b/test/entries/edge/pooled-entry-ownership.test.ts
@@ -148,7 +148,7 @@
 		runs: [{requester, request: firstTaskOfJob}],
 	});
 	await world.pass(50);
-	assert.deepEqual(world.journal.named('runStopped').map(({cause}) => cause), ['its entry is not heard here']);
+	assert.deepEqual(world.journal.named('runStopped').map(({cause}) => cause), ['requester not reachable']);
 });
 
 // Operators empty a zone before work on its power supply. Its targets went on getting tasks, which would have gone down with it;
--- a/test/features/pool/epochs.test.ts
+++ b/test/features/pool/epochs.test.ts
@@ -1,4 +1,4 @@
-/** Which requests count between two entries, and which losses are noticed. */
+/** Validity of requests between two nodes, and detection of declared losses. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {MemberId} from '../../../src/base/member-id.js';
@@ -6,12 +6,12 @@
 
 const [left, right] = ['left#1' as MemberId, 'right#1' as MemberId];
 
-/** Two entries that state their epochs to each other. */
+/** Two nodes that exchange their epochs. */
 class Pair {
 	readonly left = new Epochs();
 	readonly right = new Epochs();
 
-	/** What the left one would send to the right one now. */
+	/** The epochs that the left node would send now. */
 	get fromLeft() {
 		return {epoch: this.left.local(right), acknowledgedEpoch: this.left.remote(right)};
 	}
@@ -20,77 +20,77 @@
 		return {epoch: this.right.local(left), acknowledgedEpoch: this.right.remote(left)};
 	}
 
-	/** Whether a loss is noticed, left and right. */
-	talk(): readonly [boolean, boolean] {
+	/** Exchanges frames; returns whether the left and the right node detect a loss. */
+	exchange(): readonly [boolean, boolean] {
 		return [this.left.observe(right, this.fromRight), this.right.observe(left, this.fromLeft)];
 	}
 }
 
-function acquainted(): Pair {
+function connectedPair(): Pair {
 	const pair = new Pair();
-	assert.deepEqual(pair.talk(), [false, false]);
+	assert.deepEqual(pair.exchange(), [false, false]);
 	return pair;
 }
 
-// Guards against a request that was under way, or repeated, while its sender was taken as lost.
-test('a request from before its sender was lost is outdated, and one that follows the word of the loss is not', () => {
-	const pair = acquainted();
-	const former = pair.fromLeft;
-	assert.equal(pair.right.isCurrent(left, former), true);
+// Guards against requests that were in transit, or repeated, while their sender was declared lost.
+test('a request from before the loss of its sender is outdated, and one sent after the sender learned of the loss is current', () => {
+	const pair = connectedPair();
+	const previous = pair.fromLeft;
+	assert.equal(pair.right.isCurrent(left, previous), true);
 	pair.right.recordLoss(left);
-	assert.equal(pair.right.isCurrent(left, former), false);
-	pair.talk();
+	assert.equal(pair.right.isCurrent(left, previous), false);
+	pair.exchange();
 	assert.equal(pair.right.isCurrent(left, pair.fromLeft), true);
-	assert.equal(pair.right.isCurrent(left, former), false);
+	assert.equal(pair.right.isCurrent(left, previous), false);
 });
 
-// Guards against requests that waited in the sockets of an entry that stood still.
-test('a request from before its receiver stood still is outdated', () => {
-	const pair = acquainted();
-	const former = pair.fromLeft;
+// Guards against requests that were buffered in the sockets of a stalled node.
+test('a request from before its receiver stalled is outdated', () => {
+	const pair = connectedPair();
+	const previous = pair.fromLeft;
 	pair.right.recordPause();
-	assert.equal(pair.right.isCurrent(left, former), false);
-	assert.deepEqual(pair.talk(), [false, false]);
+	assert.equal(pair.right.isCurrent(left, previous), false);
+	assert.deepEqual(pair.exchange(), [false, false]);
 	assert.equal(pair.right.isCurrent(left, pair.fromLeft), true);
 });
 
-// Guards against an entry that goes on with its jobs though others have stopped what it had asked for.
-test('an entry that was lost without noticing learns of it once', () => {
-	const pair = acquainted();
+// Guards against a node that continues its jobs although its peers have stopped the runs it requested.
+test('a node that was declared lost without noticing detects it once', () => {
+	const pair = connectedPair();
 	pair.right.recordLoss(left);
-	assert.equal(pair.talk()[0], true);
-	assert.equal(pair.talk()[0], false);
+	assert.equal(pair.exchange()[0], true);
+	assert.equal(pair.exchange()[0], false);
 });
 
-// Guards against jobs that are given up though their entry was there all the time.
-test('a loss that was noticed on both sides says nothing new', () => {
-	const pair = acquainted();
-	const [heldUp, alsoHeldUp] = [pair.fromRight, pair.fromLeft];
+// Guards against giving up jobs whose node was connected all the time.
+test('a loss that both sides noticed is not detected again', () => {
+	const pair = connectedPair();
+	const [delayed, alsoDelayed] = [pair.fromRight, pair.fromLeft];
 	pair.left.recordLoss(right);
 	pair.right.recordLoss(left);
-	assert.deepEqual([pair.left.observe(right, heldUp), pair.right.observe(left, alsoHeldUp)], [false, false]);
-	assert.deepEqual([...pair.talk(), ...pair.talk(), ...pair.talk()], [false, false, false, false, false, false]);
+	assert.deepEqual([pair.left.observe(right, delayed), pair.right.observe(left, alsoDelayed)], [false, false]);
+	assert.deepEqual([...pair.exchange(), ...pair.exchange(), ...pair.exchange()], [false, false, false, false, false, false]);
 });
 
-// Guards against jobs that are given up again and again while one member after the other tells of the same silence.
-test('a loss from before the latest pause was dealt with then', () => {
-	const pair = acquainted();
+// Guards against giving up jobs repeatedly when several peers declare the same silence a loss.
+test('a loss from before the latest stall is not detected again', () => {
+	const pair = connectedPair();
 	pair.right.recordLoss(left);
 	const late = pair.fromRight;
 	pair.left.recordPause();
 	assert.equal(pair.left.observe(right, late), false);
-	assert.deepEqual([...pair.talk(), ...pair.talk()], [false, false, false, false]);
+	assert.deepEqual([...pair.exchange(), ...pair.exchange()], [false, false, false, false]);
 	pair.right.recordLoss(left);
 	assert.equal(pair.left.observe(right, pair.fromRight), true);
 });
 
-// Guards against frames of a former connection that are read after those of the present one.
-test('a late frame takes no epoch back', () => {
-	const pair = acquainted();
+// Guards against frames of a previous connection that are read after those of the current one.
+test('a late frame does not lower an epoch', () => {
+	const pair = connectedPair();
 	const late = pair.fromRight;
 	pair.right.recordLoss(left);
-	pair.talk();
-	const stated = pair.left.remote(right);
+	pair.exchange();
+	const remote = pair.left.remote(right);
 	pair.left.observe(right, late);
-	assert.deepEqual(pair.left.remote(right), stated);
+	assert.deepEqual(pair.left.remote(right), remote);
 });
--- a/test/features/pool/messages.test.ts
+++ b/test/features/pool/messages.test.ts
@@ -1,4 +1,4 @@
-/** Messages of the pool, there and back. */
+/** Encoding and decoding of pool messages. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {encode as encodeCbor, decode as decodeCbor} from 'cbor-x';
@@ -90,27 +90,27 @@
 	},
 ];
 
-test('every message comes back from the wire as it was sent', () => {
+test('every message survives encoding and decoding', () => {
 	assert.deepEqual(decodeMessages(decodeCbor(encodeCbor(encodeMessages(messages)))), messages);
 });
 
-test('a frame comes back from the wire with its epochs', () => {
+test('a frame survives encoding and decoding with its epochs', () => {
 	const frame = {epoch: {losses: 2, pauses: 1}, acknowledgedEpoch: {losses: 0, pauses: 3}, messages};
 	assert.deepEqual(decodeFrame(decodeCbor(encodeCbor(encodeFrame(frame)))), frame);
 });
 
-// Eight tasks of a job go to one entry; its payload makes most of the bytes, and those between zones are paid for.
-test('tasks of one job that travel together carry the payload once', () => {
+// Guards against repeating the payload, which makes up most of the bytes, for every task of a job.
+test('runs of one job in a batch carry the payload once', () => {
 	const runOf = (index: number) => ({kind: 'run' as const, request: {...request, task: `job.0.0.${index}` as TaskId}});
 	const bytesOf = (count: number) => encodeCbor(encodeMessages(Array.from({length: count}, (_, index) => runOf(index)))).length;
 	assert.equal(bytesOf(8) < 1.5 * bytesOf(1), true);
 });
 
-test('what is no message is named and has no effect', () => {
+test('malformed messages are rejected with a description', () => {
 	const detailOf = (body: unknown) => {
 		try {
 			decodeMessages(body);
-			return 'read';
+			return 'decoded';
 		} catch (error) {
 			return `${(error as Error).name}: ${(error as Error).message}`;
 		}
@@ -120,9 +120,9 @@
 		'TypeError: value 1 is undefined, not a list',
 		'TypeError: value 1 is string, not a list',
 		'TypeError: value 1 is number, not a list of lists',
-		'TypeError: no message has the code 99',
-		'TypeError: a run of the same job as the one before it, which is not there',
-		'TypeError: value 2 is string, not true or false',
-		'TypeError: no refusal has the cause bored',
+		'TypeError: unknown message code 99',
+		'TypeError: a nextRun message without a preceding run',
+		'TypeError: value 2 is string, not a boolean',
+		'TypeError: unknown refusal cause bored',
 	]);
 });
--- a/test/features/pool/neighbours.test.ts
+++ b/test/features/pool/neighbours.test.ts
@@ -1,4 +1,4 @@
-/** Which entries keep connections to each other. */
+/** Selection of the peers to connect to. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {AvailabilityZone} from '../../../src/base/availability-zone.js';
@@ -27,13 +27,12 @@
 	return [...addresses].filter(address => address.startsWith(`10.${zone}.`));
 }
 
-test('a small fleet is connected as a whole', () => {
+test('a small fleet is fully connected', () => {
 	assert.equal(neighboursOf(fleetOf(4, 3)).choose().size, 11);
 });
 
-// Each of 97 entries dialled, greeted and kept 96 connections, told all of them of itself, and dialled a cut zone's sixteen
-// over and over: before the first job that took a tenth of a small machine.
-test('in a large one an entry is connected to its zone and to a few of each other zone, however large it is', () => {
+// Guards against connections that grow with the square of the fleet's size.
+test('in a large fleet a node connects to its zone and to a few peers of each other zone', () => {
 	const counts = [16, 50].map(inEachZone => {
 		const fleet = fleetOf(6, inEachZone);
 		const chosen = fleet.map(self => neighboursOf(fleet, self).choose());
@@ -46,7 +45,7 @@
 	assert.deepEqual(counts, [{own: 15, mean: 18, least: true}, {own: 49, mean: 20, least: true}]);
 });
 
-test('the choice doesn\'t change when an entry that isn\'t chosen comes or goes', () => {
+test('the selection changes by at most one peer when a node is added', () => {
 	const {neighbours, choose} = neighboursOf(fleetOf(6, 16));
 	const before = choose();
 	const met = [...before];
@@ -55,8 +54,8 @@
 	assert.ok([...after].filter(address => !before.has(address)).length <= 1);
 });
 
-// A chosen machine is replaced at another address. Dialling the old one for ever would leave its zone out of sight.
-test('one that doesn\'t answer gives way to another of its zone, and is tried again later', () => {
+// Guards against losing a zone by dialling the address of a replaced instance for ever.
+test('an unresponsive peer is replaced by another one of its zone and retried later', () => {
 	const {clock, choose} = neighboursOf(fleetOf(6, 16));
 	const first = inZone(choose(), 2);
 	const met = [...choose()].filter(address => address !== first[0]);
@@ -69,9 +68,8 @@
 	assert.ok(inZone(choose(met), 2).includes(first[0]!));
 });
 
-// A zone is cut off for many seconds: sixteen dials every 0.1 s from each entry of the other zones take their processor,
-// and as soon as the cut has healed each has to find the zone again.
-test('while a zone is cut off no more than two of its entries are dialled at a time, and all in turn', () => {
+// Guards against dialling all peers of a partitioned zone at once, and against missing the end of the partition.
+test('at most two peers of a partitioned zone are dialled at a time, in rotation', () => {
 	const {clock, choose} = neighboursOf(fleetOf(6, 8));
 	const others = [...choose()].filter(address => !address.startsWith('10.2.'));
 	const tried = new Set<string>();
--- a/test/features/pool/state-broadcaster.test.ts
+++ b/test/features/pool/state-broadcaster.test.ts
@@ -1,4 +1,4 @@
-/** When states are told, and to whom. */
+/** Timing and receivers of published states. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {AvailabilityZone} from '../../../src/base/availability-zone.js';
@@ -19,29 +19,29 @@
 const service = 'service' as ServiceName;
 const need = new Resources(27_000, 64, 0);
 
-/** Notes when each entry is told. */
-class NotingNetwork extends ModelNetwork {
-	readonly told: Array<{readonly at: number; readonly to: MemberId}> = [];
+/** Records when each peer is sent a state. */
+class RecordingNetwork extends ModelNetwork {
+	readonly sent: Array<{readonly at: number; readonly to: MemberId}> = [];
 
 	override carry(...[, to]: [Member, MemberId, PeerMessage]): void {
-		this.told.push({at: this.clock.now(), to});
+		this.sent.push({at: this.clock.now(), to});
 	}
 }
 
-function worldOf(count: number, closeCount: number) {
+function worldOf(count: number, activeCount: number) {
 	const clock = new FakeClock();
-	const network = new NotingNetwork(clock);
-	const begunAt = clock.now();
+	const network = new RecordingNetwork(clock);
+	const startedAt = clock.now();
 	const members: PoolMember[] = Array.from({length: count}, (_, index) => ({
 		member: {
 			id: `e-${index}` as MemberId, instance: `e-${index}` as InstanceId, zone: 'z' as AvailabilityZone, peerAddress: `10.0.0.${index}:1`,
 		},
-		heardAt: begunAt,
-		sendTiming: index < closeCount ? heartbeats.active : heartbeats.idle,
+		heardAt: startedAt,
+		sendTiming: index < activeCount ? heartbeats.active : heartbeats.idle,
 		isMonitor: false,
 		isMonitored: false,
-		expectedTiming: index < closeCount ? heartbeats.active : heartbeats.idle,
-		timingChangedAt: begunAt,
+		expectedTiming: index < activeCount ? heartbeats.active : heartbeats.idle,
+		timingChangedAt: startedAt,
 		isLeaving: false,
 		routingVersion: 0,
 		capacityUpdates: 0,
@@ -49,63 +49,60 @@
 		freeCapacity: [],
 	}));
 	const world = {
-		places: 0, clock, network, members,
+		targets: 0, clock, network, members,
 	};
 	const broadcaster = new StateBroadcaster({
 		members: () => members,
 		ownState: () => ({
-			isLeaving: false, routingVersion: 0, demand: [], freeCapacity: Array.from({length: world.places}, () => ({service, labels: [], room: need})),
+			isLeaving: false, routingVersion: 0, demand: [], freeCapacity: Array.from({length: world.targets}, () => ({service, labels: [], room: need})),
 		}),
 		outbox: new Outbox({
 			network: network.join('self', 'z'), channel: 'pool', epochs: new Epochs(), clock,
 		}),
 		clock,
 	});
-	const toldWithin = (milliseconds: number) => {
-		const from = network.told.length;
+	const receiversWithin = (milliseconds: number) => {
+		const from = network.sent.length;
 		clock.advance(milliseconds);
-		return network.told.slice(from).map(({to}) => to);
+		return network.sent.slice(from).map(({to}) => to);
 	};
 
-	return {world, broadcaster, toldWithin};
+	return {world, broadcaster, receiversWithin};
 }
 
-// An entry of a large fleet begins to wait, and a few milliseconds later is told to stop. That it leaves has to reach everybody:
-// taken for the same as the message that it waits, it would reach only those that are close, and others go on sending it tasks.
-test('what all have to know isn\'t taken for what only those that are close need', () => {
-	const {broadcaster, toldWithin} = worldOf(20, 4);
+// Guards against merging a broadcast to all peers, such as leaving, with a pending announcement that only active peers receive.
+test('a broadcast is not merged with an announcement of demand', () => {
+	const {broadcaster, receiversWithin} = worldOf(20, 4);
 	broadcaster.announceDemand();
 	broadcaster.broadcast();
-	assert.equal(new Set(toldWithin(30)).size, 20);
+	assert.equal(new Set(receiversWithin(30)).size, 20);
 });
 
-// In a burst places become free one after the other. Two entries were told of the first one and take it; the second one becomes
-// free while the first would soon be told again, and stood idle until then.
-test('new room is told within 5 ms, also while other room has just been told', () => {
-	const {world, broadcaster, toldWithin} = worldOf(7, 7);
-	world.places = 3;
+// Guards against new capacity that stays idle because other capacity has just been announced.
+test('new capacity is announced within 5 ms, even right after another announcement', () => {
+	const {world, broadcaster, receiversWithin} = worldOf(7, 7);
+	world.targets = 3;
 	broadcaster.announceCapacity();
-	assert.equal(toldWithin(1).length, 6);
-	world.places = 4;
+	assert.equal(receiversWithin(1).length, 6);
+	world.targets = 4;
 	broadcaster.announceCapacity();
-	assert.equal(toldWithin(5).length, 7);
+	assert.equal(receiversWithin(5).length, 7);
 });
 
-// A task waits for ten milliseconds and finds room; the entry that has more room went on telling until it heard again, a second
-// later in a large fleet. At three quarters of the load that was a third of all messages.
-test('an entry is told of room twice for each time that it says that tasks wait there', () => {
-	const {world, broadcaster, toldWithin} = worldOf(3, 3);
-	for (const places of [3, 6, 9]) {
-		world.places = places;
+// Guards against repeated announcements to a peer whose task has already been placed.
+test('a peer gets two capacity announcements for each time that it publishes demand', () => {
+	const {world, broadcaster, receiversWithin} = worldOf(3, 3);
+	for (const targets of [3, 6, 9]) {
+		world.targets = targets;
 		broadcaster.announceCapacity();
 	}
 
-	const first = toldWithin(500).length;
+	const first = receiversWithin(500).length;
 	for (const member of world.members) {
 		member.capacityUpdates = 0;
 	}
 
-	world.places = 12;
+	world.targets = 12;
 	broadcaster.announceCapacity();
-	assert.deepEqual({first, again: toldWithin(500).length}, {first: 6, again: 6});
+	assert.deepEqual({first, again: receiversWithin(500).length}, {first: 6, again: 6});
 });
