--- a/src/features/listing/change-log.ts
+++ b/src/features/listing/change-log.ts
@@ -1,44 +1,45 @@
-/** The latest changes of the list of targets. */
+/** The recent changes of the target list. */
 import type {ListRecord} from './list-record.js';
 
-/** Whoever is further behind is told the whole list. */
-const mostChanges = 4096;
+/** A node that is further behind gets the whole list. */
+const maximumChanges = 4096;
 
-/** What changed from an offset on, without the records that only confirm. */
+/** Stores the changes from an offset on, without records that repeat a known value. */
 export class ChangeLog {
 	#start: number | undefined;
 	#changes: ListRecord[] = [];
 
-	/** The list is known as a whole up to an offset; what was before isn't told any more. */
+	/** Starts again at an offset up to which the whole list is known. */
 	restart(start: number): void {
 		this.#start = start;
 		this.#changes = [];
 	}
 
-	/** The list isn't known any more. */
+	/** Discards the changes, since the list is no longer known. */
 	clear(): void {
 		this.#start = undefined;
 		this.#changes = [];
 	}
 
+	/** Appends a change; ignored while the list is unknown. */
 	add(change: ListRecord): void {
 		if (this.#start === undefined) {
 			return;
 		}
 
 		this.#changes.push(change);
-		if (this.#changes.length > mostChanges) {
-			this.#changes = this.#changes.slice(-mostChanges / 2);
+		if (this.#changes.length > maximumChanges) {
+			this.#changes = this.#changes.slice(-maximumChanges / 2);
 			this.#start = this.#changes[0]!.offset;
 		}
 	}
 
-	/** Whether the list is known as of one offset. */
+	/** Whether the list is known as of a single offset. */
 	get isComplete(): boolean {
 		return this.#start !== undefined;
 	}
 
-	/** The changes from an offset on; nothing where not all of them are known. */
+	/** Returns the changes from an offset on; undefined if some of them are unknown. */
 	since(offset: number): readonly ListRecord[] | undefined {
 		return this.#start === undefined || offset < this.#start ? undefined : this.#changes.filter(change => change.offset >= offset);
 	}
--- a/src/features/listing/interruptible-wait.ts
+++ b/src/features/listing/interruptible-wait.ts
@@ -1,14 +1,14 @@
-/** A wait that can be cut short. */
+/** A delay that can be ended early. */
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
 
-/** One wait at a time. */
+/** Supports one wait at a time. */
 export class InterruptibleWait implements Disposable {
 	#interrupt: (() => void) | undefined;
 
 	constructor(private readonly clock: Clock) {}
 
-	/** Resolves after so many milliseconds, or once it's cut short. */
+	/** Resolves after the given time, or when interrupted. */
 	async wait(milliseconds: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			const timer = this.clock.schedule(milliseconds, resolve);
@@ -20,6 +20,7 @@
 		this.#interrupt = undefined;
 	}
 
+	/** Ends the current wait, if any. */
 	interrupt(): void {
 		this.#interrupt?.();
 	}
--- a/src/features/listing/list-record.ts
+++ b/src/features/listing/list-record.ts
@@ -1,9 +1,10 @@
-/** A record of the list of targets, as the store holds it. */
+/** A record of the target log in the store. */
 
+/** A new value of one key, or its removal. */
 export type ListRecord = {
-	/** Its place in the store's order. */
+	/** The position in the log. */
 	readonly offset: number;
 	readonly key: string;
-	/** Nothing where the key was dropped. */
+	/** Undefined if the key was removed. */
 	readonly value: Uint8Array | undefined;
 };
--- a/src/features/listing/list-request.ts
+++ b/src/features/listing/list-request.ts
@@ -1,8 +1,9 @@
-/** What an entry asks the one that reads the list of targets for it. */
+/** A request for the target list. */
 
+/** Sent by a node to the reader of its zone. */
 export type ListRequest = {
-	/** Numbered by the asker. */
+	/** Assigned by the requester. */
 	readonly requestId: number;
-	/** Up to where it knows the list; nothing where it doesn't. */
+	/** The first offset that the requester lacks; undefined if it needs the whole list. */
 	readonly from: number | undefined;
 };
--- a/src/features/listing/list-source.ts
+++ b/src/features/listing/list-source.ts
@@ -1,22 +1,24 @@
-/** Where the list of targets is read from. */
+/** The source of the target list. */
 import type {ListRecord} from './list-record.js';
 
+/** The latest value of each key. */
 type LatestValues = {
 	readonly values: ReadonlyMap<string, Uint8Array>;
-	/** From where on to read; values may be newer than that. */
+	/** The offset to continue reading from; some values may be newer. */
 	readonly end: number;
 };
+/** The result of reading from an offset. */
 type LogRead =
-	/** `isBehind`: there were more records than one answer holds. */
+	/** `hasMore`: there are more records than fit into one response. */
 	| {readonly kind: 'records'; readonly records: readonly ListRecord[]; readonly next: number; readonly hasMore: boolean}
-	/** `trimmed`: the store doesn't have the records from there on any more. */
+	/** `trimmed`: the store no longer has the records from that offset on. */
 	| {readonly kind: 'trimmed' | 'failed'};
 
-/** The platform's log of what targets write. */
+/** The log that targets write to. */
 export abstract class ListSource {
-	/** The newest value of each key. */
+	/** Returns the latest value of each key; undefined if the store fails to answer. */
 	abstract readLatest(): Promise<LatestValues | undefined>;
 
-	/** The records from an offset on; answers at once. */
+	/** Returns the records from an offset on, without waiting for new ones. */
 	abstract readFrom(from: number): Promise<LogRead>;
 }
--- a/src/features/listing/list-update.ts
+++ b/src/features/listing/list-update.ts
@@ -1,12 +1,13 @@
-/** A part of the list of targets that one entry passes on to another. */
+/** An update of the target list, sent from a reader to another node. */
 
+/** Either the changes from an offset on, or the whole list. */
 export type ListUpdate = {
-	/** The question that it answers, as the asker numbered it. */
+	/** The request that this update answers. */
 	readonly requestId: number;
-	/** The offset from which on it tells all that changed; nothing where it's the whole list. */
+	/** The first offset whose changes are included; undefined for the whole list. */
 	readonly from: number | undefined;
-	/** The first offset that it doesn't cover. */
+	/** The first offset that is not covered. */
 	readonly next: number;
-	/** Packed, see `packRecords`. */
+	/** Encoded by `packRecords`. */
 	readonly records: Uint8Array;
 };
--- a/src/features/listing/pending-list-requests.ts
+++ b/src/features/listing/pending-list-requests.ts
@@ -1,19 +1,19 @@
-/** The entries that this one reads the list of targets for. */
+/** Requests for the target list from other nodes. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {ReplicatedList} from './replicated-list.js';
 import type {ListRequest} from './list-request.js';
 import type {ReaderGroup} from './reader-group.js';
 
-/** An entry that is asked reads for so long; who follows it asks several times within that. */
+/** How long a node reads for others after a request; followers send several requests in that time. */
 const serviceMilliseconds = 2000;
 
-/** A question that is to be answered by a read. */
+/** The latest request of a node. */
 type PendingRequest = readonly [MemberId, ListRequest];
 
 /**
- * Answers a question only by a read that began after it had come. So the requester knows by its own clock how old an answer can be,
- * however long this entry stood still before, or between the read and the answer.
+ * Answers a request only with a read that began after the request had arrived. This way the requester's own clock bounds the age of
+ * the answer, even if this node stalls.
  */
 export class PendingListRequests {
 	readonly #pending = new Map<MemberId, ListRequest>();
@@ -21,21 +21,23 @@
 
 	constructor(private readonly readerGroup: ReaderGroup, private readonly clock: Clock) {}
 
-	/** Whether this entry has to read for others. */
+	/** Whether this node has to read for others. */
 	get isServing(): boolean {
 		return this.clock.now() - this.#lastRequestAt <= serviceMilliseconds;
 	}
 
-	/** The questions that a read which begins now will answer. */
+	/** The requests that a read that begins now will answer. */
 	get pending(): readonly PendingRequest[] {
 		return [...this.#pending];
 	}
 
+	/** Adds a request; replaces an earlier one from the same node. */
 	add(from: MemberId, request: ListRequest): void {
 		this.#lastRequestAt = this.clock.now();
 		this.#pending.set(from, request);
 	}
 
+	/** Answers those of the given requests that have not been replaced since. */
 	answer(requests: readonly PendingRequest[], list: ReplicatedList): void {
 		for (const [requester, request] of requests) {
 			if (this.#pending.get(requester) === request) {
--- a/src/features/listing/pool-reader-group.ts
+++ b/src/features/listing/pool-reader-group.ts
@@ -1,4 +1,4 @@
-/** The entries of a zone, as the pool knows them, as a reading circle. */
+/** A reader group that consists of the pool members of a zone. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
@@ -14,28 +14,28 @@
 import {ReaderGroup} from './reader-group.js';
 import type {ReaderRole} from './reader-role.js';
 
-/** One may be gone, and one may be cut off. */
+/** Readers per zone: one may be lost, and one may be disconnected. */
 const readersPerZone = 3;
-/** How long the directory of entries may take before an entry that has just started reads for itself. */
+/** How long a node that has just started waits for the directory before it reads for itself. */
 const directoryTimeoutMilliseconds = 300;
-/** So long after the start few entries are met, and those that the directory names count. */
+/** For this time after the start the directory is used instead of the pool members, few of which have been met yet. */
 const startupMilliseconds = 500;
-/** Some that it names may be gone: with no more than this an entry that starts doesn't wait for one that may not be there. */
+/** Up to this size of the directory, which may list nodes that are gone, a node that starts reads for itself. */
 const smallDirectorySize = 3 * fullMeshLimit;
 
-/** What the circle works with. */
+/** Dependencies of a pool reader group. */
 type PoolReaderGroupParts = {
 	readonly pool: Pool;
 	readonly self: {readonly address: string; readonly zone: AvailabilityZone};
 	readonly clock: Clock;
 };
 
-/** The readers of a zone are chosen by rendezvous hashing; which of them an entry asks first, by another. */
+/** Selects the readers of a zone by rendezvous hashing on the zone, and the order of preference by hashing on the own address. */
 export class PoolReaderGroup extends ReaderGroup implements Disposable {
 	readonly #receiveRequest = new Emitter<{readonly from: MemberId; readonly request: ListRequest}>();
 	readonly #receiveUpdate = new Emitter<{readonly from: MemberId; readonly update: ListUpdate}>();
 	readonly #store = new DisposableStore();
-	/** By address, those that the directory names; this entry as well. */
+	/** The zones of the nodes in the directory by address, including this node. */
 	readonly #directory = new Map<string, AvailabilityZone | undefined>();
 	readonly #startedAt: number;
 
@@ -81,9 +81,9 @@
 		return rankByKey(self.address, this.#readerAddresses, address => address).map(address => ids.get(address)).filter(id => id !== undefined);
 	}
 
-	/** Takes entries that the directory names. */
-	addPeers(entries: Iterable<PeerEndpoint>): void {
-		for (const {address, zone} of entries) {
+	/** Adds nodes that are listed in the directory. */
+	addPeers(endpoints: Iterable<PeerEndpoint>): void {
+		for (const {address, zone} of endpoints) {
 			this.#directory.set(address, zone);
 		}
 	}
@@ -114,7 +114,7 @@
 		return this.#isStartingUp ? this.#directory.size <= smallDirectorySize : [...this.parts.pool.members].length <= fullMeshLimit;
 	}
 
-	/** The addresses of the zone's readers. */
+	/** The addresses of the zone's readers, including this node if it is one. */
 	get #readerAddresses(): readonly string[] {
 		const {pool, self} = this.parts;
 		const zoneAddresses = this.#isStartingUp
--- a/src/features/listing/preferred-reader.ts
+++ b/src/features/listing/preferred-reader.ts
@@ -1,18 +1,18 @@
-/** The entry that this one asks for the list of targets. */
+/** The reader that this node requests the target list from. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 
-/** One that didn't answer isn't asked for so long, while there are others. */
+/** How long a reader is skipped after it failed to answer. */
 const exclusionMilliseconds = 3000;
 
-/** Stays with a reader while it answers. */
+/** Keeps the same reader as long as it answers. */
 export class PreferredReader {
 	#current: MemberId | undefined;
 	readonly #excludedUntil = new Map<MemberId, number>();
 
 	constructor(private readonly clock: Clock) {}
 
-	/** The one to ask, if any. */
+	/** Returns the reader to use, if any is available. */
 	choose(readers: readonly MemberId[]): MemberId | undefined {
 		const now = this.clock.now();
 		for (const [reader, until] of this.#excludedUntil) {
@@ -26,7 +26,7 @@
 		return this.#current;
 	}
 
-	/** It didn't answer although the store did. */
+	/** Skips a reader for a while; for one that failed to answer although the store is reachable. */
 	exclude(reader: MemberId): void {
 		this.#excludedUntil.set(reader, this.clock.now() + exclusionMilliseconds);
 	}
--- a/src/features/listing/reader-role.ts
+++ b/src/features/listing/reader-role.ts
@@ -1,4 +1,4 @@
-/** What an entry does for the reading of the list of targets. */
+/** The roles of a node in reading the target list. */
 
-/** `undetermined`: it isn't known yet how many entries there are. */
+/** `alone`: reads for itself only. `undetermined`: the size of the fleet isn't known yet. */
 export type ReaderRole = 'alone' | 'reader' | 'follower' | 'undetermined';
--- a/src/features/listing/replicated-list.ts
+++ b/src/features/listing/replicated-list.ts
@@ -1,4 +1,4 @@
-/** The list of targets as it's known here, in the store's order. */
+/** The replicated target list. */
 import {ChangeLog} from './change-log.js';
 import type {TargetTable} from './target-table.js';
 import type {ListUpdate} from './list-update.js';
@@ -8,28 +8,28 @@
 import {unpackRecords} from './unpack-records.js';
 
 /**
- * Knows up to which of the store's offsets the list is known, and takes each record after that once, in order, whichever entry
- * has read it. What comes late, from an entry that stood still or from a slow read, is before that offset and has no effect.
+ * Tracks the store offset up to which the list is known, and applies each later record once and in order, regardless of which node
+ * has read it. Late data, from a stalled node or a slow read, is before that offset and has no effect.
  */
 export class ReplicatedList {
 	#next: number | undefined;
 	readonly #changes = new ChangeLog();
-	/** The whole list as it was packed last: entries that start together ask for the same one. */
-	#whole: {readonly next: number; readonly records: Uint8Array} | undefined;
+	/** The encoded list, cached because nodes that start together request the same one. */
+	#packedList: {readonly next: number; readonly records: Uint8Array} | undefined;
 
 	constructor(private readonly table: TargetTable) {}
 
-	/** The first offset that isn't known; nothing where no list is. */
+	/** The first unknown offset; undefined if no list is known. */
 	get next(): number | undefined {
 		return this.#next;
 	}
 
-	/** Whether others can be told of it. */
+	/** Whether the list is consistent as of one offset, so that it may be sent to other nodes. */
 	get isComplete(): boolean {
 		return this.#changes.isComplete;
 	}
 
-	/** The newest values, some of which may be newer than `end`: the list is one moment's only after the next read. */
+	/** Applies the latest values. Some of them may be newer than `end`, so the list is consistent only after the next read. */
 	applySnapshot(values: ReadonlyMap<string, Uint8Array>, end: number): void {
 		this.#changes.clear();
 		this.table.replaceAll([...values].map(([key, value]) => ({key, value})));
@@ -37,9 +37,9 @@
 		this.table.commit();
 	}
 
-	/** Records that were asked for after everything that is known here had been read; `isAll`: the store had no others. */
+	/** Applies records of a read that began after everything known here had been read; `isAll`: the store has no further ones. */
 	applyRecords(records: readonly ListRecord[], next: number, isAll: boolean): void {
-		this.#takeSince(records, next);
+		this.#applySince(records, next);
 		if (isAll && !this.#changes.isComplete) {
 			this.#changes.restart(this.#next!);
 		}
@@ -48,11 +48,12 @@
 	}
 
 	/**
-	 * False where it doesn't join on to what is known here; `isLate`: it may be older than that. Throws where it can't be read.
+	 * Applies an update; returns false if it leaves a gap or is outdated. `isLate`: it may be older than the known list. Throws if it
+	 * is malformed.
 	 */
 	applyUpdate({from, next, records: packed}: ListUpdate, isLate: boolean): boolean {
 		if (from === undefined) {
-			return (!isLate || this.#changes.isComplete) && this.#takeWhole(packed, next);
+			return (!isLate || this.#changes.isComplete) && this.#replaceAll(packed, next);
 		}
 
 		if (this.#next === undefined || from > this.#next) {
@@ -63,7 +64,7 @@
 		return true;
 	}
 
-	/** The store can't tell what came since an offset. */
+	/** Discards the list if its end is an offset that the store can no longer read from. */
 	invalidate(offset: number): void {
 		if (this.#next === offset) {
 			this.#next = undefined;
@@ -71,17 +72,17 @@
 		}
 	}
 
-	/** Tells another entry what it doesn't know. */
+	/** Returns what the requester lacks. */
 	updateFor({requestId, from}: ListRequest): ListUpdate {
 		const next = this.#next!;
 		const changes = from === undefined ? undefined : this.#changes.since(from);
-		const records = changes === undefined ? this.#packWhole(next) : packRecords(changes);
+		const records = changes === undefined ? this.#packList(next) : packRecords(changes);
 		return {
 			requestId, from: changes === undefined ? undefined : from, next, records,
 		};
 	}
 
-	#takeSince(records: readonly ListRecord[], next: number): void {
+	#applySince(records: readonly ListRecord[], next: number): void {
 		const known = this.#next ?? 0;
 		for (const record of records) {
 			if (record.offset >= known && this.table.apply(record)) {
@@ -92,7 +93,7 @@
 		this.#next = Math.max(known, next);
 	}
 
-	#takeWhole(packed: Uint8Array, next: number): boolean {
+	#replaceAll(packed: Uint8Array, next: number): boolean {
 		if (this.#next !== undefined && next < this.#next) {
 			return false;
 		}
@@ -104,11 +105,11 @@
 		return true;
 	}
 
-	#packWhole(next: number): Uint8Array {
-		if (this.#whole?.next !== next) {
-			this.#whole = {next, records: packRecords(this.table.snapshot.map(value => ({...value, offset: next})))};
+	#packList(next: number): Uint8Array {
+		if (this.#packedList?.next !== next) {
+			this.#packedList = {next, records: packRecords(this.table.snapshot.map(value => ({...value, offset: next})))};
 		}
 
-		return this.#whole.records;
+		return this.#packedList.records;
 	}
 }
--- a/src/features/listing/standalone-reader-group.ts
+++ b/src/features/listing/standalone-reader-group.ts
@@ -1,10 +1,11 @@
-/** An entry that shares its reading with nobody. */
+/** A group of a single node. */
 import {Emitter} from '../../base/emitter.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {ListUpdate} from './list-update.js';
 import type {ListRequest} from './list-request.js';
 import {ReaderGroup} from './reader-group.js';
 
+/** For a node that reads for itself only. */
 export class StandaloneReaderGroup extends ReaderGroup {
 	override readonly role = 'alone';
 	override readonly readers = [];
@@ -12,10 +13,10 @@
 	override readonly onDidReceiveUpdate = new Emitter<{readonly from: MemberId; readonly update: ListUpdate}>().event;
 
 	override sendRequest(): void {
-		// There is nobody.
+		// There are no other nodes.
 	}
 
 	override sendUpdate(): void {
-		// There is nobody.
+		// There are no other nodes.
 	}
 }
--- a/src/features/listing/target-list-replica.ts
+++ b/src/features/listing/target-list-replica.ts
@@ -1,4 +1,4 @@
-/** Keeps the list of targets up to date, by reading it or by asking an entry that does. */
+/** Keeps the target list up to date, from the store or from a reader in the zone. */
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
 import {DisposableStore} from '../../base/disposable-store.js';
@@ -15,33 +15,33 @@
 import type {ReaderGroup} from './reader-group.js';
 
 const retryMilliseconds = 150;
-/** Also where it's asked for a whole list again and again. */
-const shortestGapMilliseconds = 100;
+/** Shortest interval between reads for others, which also limits requests for the whole list. */
+const minimumReadIntervalMilliseconds = 100;
 const undeterminedMilliseconds = 20;
-/** Of the time after which a target that announced its leaving gets no new tasks: the pause of an entry that reads for itself. */
+/** The interval between reads of a node that reads for itself, as a share of the drain time. */
 const pollShare = 1 / 3;
-/** From one read for others to the next. */
+/** The interval between reads for others, as a share of the drain time. */
 const serviceShare = 1 / 4;
 /**
- * How long an answer is waited for. A reader that fails just after an answer leaves this, a read that fails, and one more
- * until the list is known anew: some two thirds of that time.
+ * The timeout of a request, as a share of the drain time. If a reader fails just after an answer, the drain time still covers the
+ * timeout, one failed read from the store and a second read.
  */
-const answerShare = 0.35;
+const requestTimeoutShare = 0.35;
 
-/** What a shared list works with. */
+/** Dependencies of a target list replica. */
 type TargetListReplicaParts = {
 	readonly source: ListSource;
 	readonly table: TargetTable;
 	readonly readerGroup: ReaderGroup;
-	/** A target that has announced its leaving gets no new tasks after so long. */
+	/** The time within which every node must learn that a target is draining and send it no new tasks. */
 	readonly drainMilliseconds: number;
 	readonly clock: Clock;
 	readonly journal: Journal;
 };
 
 /**
- * A few entries of a zone read; the others ask one of them, again after each answer, and read for themselves while no answer
- * comes. Nothing is agreed on: an entry that is asked reads, and an entry that isn't answered in time by its own clock reads.
+ * A few nodes of a zone read from the store. The others send one of them a new request after each answer, and read from the store
+ * themselves if the answer times out. No agreement is needed: any node that gets a request reads.
  */
 export class TargetListReplica implements Disposable {
 	readonly #list: ReplicatedList;
@@ -51,10 +51,10 @@
 	readonly #store = new DisposableStore();
 	#isDisposed = false;
 	#lastRequestId = 0;
-	/** The latest question, until it's answered. */
+	/** The latest request until it is answered. */
 	#outstanding: {readonly reader: MemberId; readonly requestId: number} | undefined;
 	#readAt = Number.NEGATIVE_INFINITY;
-	/** Where the list comes from. */
+	/** The reader that the list comes from; undefined for the store. */
 	#origin: MemberId | undefined;
 
 	constructor(private readonly parts: TargetListReplicaParts) {
@@ -84,7 +84,7 @@
 		while (!this.#isDisposed) {
 			const {role} = this.parts.readerGroup;
 			if (this.#requests.isServing || role === 'alone' || role === 'reader') {
-				this.#recordOrigin(undefined, 'it reads for others, or alone');
+				this.#recordOrigin(undefined, 'reads for itself or for others');
 				await this.#readOnce();
 			} else if (role === 'follower') {
 				await this.#follow();
@@ -103,9 +103,9 @@
 		await this.#wait.wait(this.#delayAfter(outcome));
 	}
 
-	/** Until the next read for others may begin. */
+	/** Milliseconds until the next read for others may begin. */
 	get #minimumDelay(): number {
-		return this.#readAt + shortestGapMilliseconds - this.parts.clock.now();
+		return this.#readAt + minimumReadIntervalMilliseconds - this.parts.clock.now();
 	}
 
 	#delayAfter(outcome: ReadOutcome): number {
@@ -123,13 +123,13 @@
 			: Math.round(drainMilliseconds * pollShare);
 	}
 
-	/** Asks a reader once; without an answer in time reads as one that is alone would. */
+	/** Sends one request to a reader; reads from the store if there is no answer in time. */
 	async #follow(): Promise<void> {
 		const {readerGroup, drainMilliseconds} = this.parts;
 		const reader = this.#preferred.choose(readerGroup.readers);
 		if (reader === undefined) {
-			const isRead = await this.#readDirectly('no reader is there');
-			await this.#wait.wait(Math.round(drainMilliseconds * (isRead ? pollShare : answerShare)));
+			const isRead = await this.#readDirectly('no reader available');
+			await this.#wait.wait(Math.round(drainMilliseconds * (isRead ? pollShare : requestTimeoutShare)));
 			return;
 		}
 
@@ -137,13 +137,13 @@
 		const requestId = this.#lastRequestId;
 		this.#outstanding = {reader, requestId};
 		readerGroup.sendRequest(reader, {requestId, from: this.#list.next});
-		await this.#wait.wait(Math.round(drainMilliseconds * answerShare));
+		await this.#wait.wait(Math.round(drainMilliseconds * requestTimeoutShare));
 		if (this.#isAnswered(requestId) || this.#requests.isServing || this.#isDisposed) {
 			return;
 		}
 
-		// While the store doesn't answer here either, the reader isn't to blame.
-		if (await this.#readDirectly('no answer in time') && !this.#isAnswered(requestId)) {
+		// If the store doesn't answer this node either, the reader isn't at fault.
+		if (await this.#readDirectly('request timed out') && !this.#isAnswered(requestId)) {
 			this.#preferred.exclude(reader);
 		}
 	}
@@ -152,7 +152,7 @@
 		return this.#outstanding?.requestId !== requestId;
 	}
 
-	/** Whether one of two reads succeeded. After that a reader is asked again: the store may be away, or busy with reads. */
+	/** Reads from the store, with one retry; returns whether a read succeeded. After a failure the next request goes to a reader again. */
 	async #readDirectly(cause: string): Promise<boolean> {
 		this.#recordOrigin(undefined, cause);
 		if (await this.#read() !== 'failed') {
@@ -181,7 +181,7 @@
 			return 'failed';
 		}
 
-		// A passage that came meanwhile may be newer.
+		// An update that arrived in the meantime may be newer.
 		if ((this.#list.next ?? 0) <= newest.end) {
 			this.#list.applySnapshot(newest.values, newest.end);
 		}
@@ -219,7 +219,7 @@
 		const isExpected = this.#outstanding?.reader === from && this.#outstanding.requestId === update.requestId;
 		if (this.#applyUpdate(from, update, !isExpected) && isExpected) {
 			this.#outstanding = undefined;
-			this.#recordOrigin(from, 'it answered');
+			this.#recordOrigin(from, 'reader answered');
 			this.#wait.interrupt();
 		}
 	}
@@ -228,7 +228,7 @@
 		try {
 			return this.#list.applyUpdate(update, isLate);
 		} catch (error) {
-			this.parts.journal.record('poolMessageUnreadable', {member: from, detail: `the list of targets: ${(error as Error).message}`});
+			this.parts.journal.record('poolMessageUnreadable', {member: from, detail: `target list: ${(error as Error).message}`});
 			return false;
 		}
 	}
@@ -241,5 +241,5 @@
 	}
 }
 
-/** `partial`: there is more to read at once. */
+/** `partial`: the next read should follow immediately. */
 type ReadOutcome = 'whole' | 'partial' | 'failed';
--- a/src/features/listing/target-table.ts
+++ b/src/features/listing/target-table.ts
@@ -1,18 +1,19 @@
-/** Who keeps the list of targets that was read. */
+/** The table of targets that the replicated list is applied to. */
 
+/** The value of a key, or its removal. */
 type TableValue = {readonly key: string; readonly value: Uint8Array | undefined};
 
-/** Takes records in the store's order, whichever entry has read them. */
+/** Applies records in the store's order, regardless of which node has read them. */
 export abstract class TargetTable {
-	/** What would make another keeper know the list as this one does, when taken in order. */
+	/** The values that reproduce this table when applied in order to an empty one. */
 	abstract readonly snapshot: readonly TableValue[];
 
-	/** The whole list: keys that aren't in it are gone. Of a key that's there several times the last one counts. */
+	/** Replaces the contents: missing keys are removed, and of several values of a key the last one counts. */
 	abstract replaceAll(values: readonly TableValue[]): void;
 
-	/** Whether the record changed anything but a number that's counted up. */
+	/** Applies a value; returns whether anything but its sequence number changed. */
 	abstract apply(value: TableValue): boolean;
 
-	/** All that was read has been taken. */
+	/** Ends a batch of changes. */
 	abstract commit(): void;
 }
--- a/src/features/listing/unpack-records.ts
+++ b/src/features/listing/unpack-records.ts
@@ -1,4 +1,4 @@
-/** Reads packed records of the list. */
+/** Decodes records of the target list. */
 import {Buffer} from 'node:buffer';
 import {inflateRawSync} from 'node:zlib';
 import type {ListRecord} from './list-record.js';
@@ -6,10 +6,10 @@
 const offsetBytes = 8;
 const lengthBytes = 4;
 const headBytes = offsetBytes + lengthBytes + lengthBytes;
-/** More than any list: what unpacks to more is garbage. */
+/** Larger than any valid list. */
 const maxOutputLength = 67_108_864;
 
-/** Throws where the bytes are no packed records. */
+/** Throws if the bytes were not produced by `packRecords`. */
 export function unpackRecords(bytes: Uint8Array): readonly ListRecord[] {
 	const packed = Buffer.from(bytes.buffer, bytes.byteOffset + 1, bytes.length - 1);
 	const plain = bytes[0] === 1 ? inflateRawSync(packed, {maxOutputLength}) : packed;
@@ -20,7 +20,7 @@
 		const valueAt = keyAt + plain.readUInt32BE(at + offsetBytes);
 		const end = valueAt + plain.readUInt32BE(at + offsetBytes + lengthBytes);
 		if (end > plain.length) {
-			throw new RangeError(`a record ends at byte ${end} of ${plain.length}`);
+			throw new RangeError(`record ends at byte ${end}, but there are only ${plain.length} bytes`);
 		}
 
 		records.push({offset: plain.readDoubleBE(at), key: plain.toString('utf8', keyAt, valueAt), value: end === valueAt ? undefined : plain.subarray(valueAt, end)});
--- a/test/features/listing/random-faults.test.ts
+++ b/test/features/listing/random-faults.test.ts
@@ -1,4 +1,4 @@
-/** The list of targets while entries fail at random. */
+/** Replication of the target list under random faults. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {Random} from '../../../src/base/random.js';
@@ -6,57 +6,57 @@
 import {ListWorld} from '../../support/list-world.js';
 
 const drainMilliseconds = 2000;
-/** An entry that wasn't disturbed for so long is held to its promises. */
-const contactMilliseconds = 3000;
+/** A node without faults for this time must know about draining targets in time. */
+const recoveryMilliseconds = 3000;
 const stepMilliseconds = 100;
 const steps = 250;
 const targets = 12;
-const calmMilliseconds = 6000;
+const settlingMilliseconds = 6000;
 const seeds = [1, 2, 3, 4, 5, 6, 7, 8];
 
-type Target = {life: number; seq: number; state: 'ready' | 'draining' | 'gone'; saidAt: number};
+type Target = {incarnation: number; seq: number; state: 'ready' | 'draining' | 'gone'; changedAt: number};
 
-/** One run: what targets say, what befalls entries, and what has to hold. */
-class DrawnRun {
+/** A random sequence of target changes and node faults, with checks. */
+class RandomRun {
 	readonly world = new ListWorld(Array.from({length: 30}, (_, index) => `${index % 2 === 0 ? 'y' : 'z'}-${index}`));
 	readonly #random: Random;
 	readonly #targets = new Map<string, Target>();
-	readonly #disturbedAt = new Map<string, number>();
-	/** What ends each entry's fault. */
+	readonly #faultyAt = new Map<string, number>();
+	/** Functions that end the faults, by node. */
 	readonly #faults = new Map<string, () => void>();
 
 	constructor(seed: number) {
 		this.#random = new Random(seed);
 		for (let index = 0; index < targets; index += 1) {
 			this.#targets.set(`t-${index}`, {
-				life: 1, seq: 0, state: 'ready', saidAt: this.world.clock.now(),
+				incarnation: 1, seq: 0, state: 'ready', changedAt: this.world.clock.now(),
 			});
 		}
 	}
 
 	async play(): Promise<void> {
-		this.#beat();
+		this.#writeAll();
 		await this.world.start();
 		for (let step = 0; step < steps; step += 1) {
 			if (step % 15 === 0) {
-				this.#beat();
+				this.#writeAll();
 			}
 
 			this.#change();
-			this.#disturb();
+			this.#injectFaults();
 			await this.world.pass(stepMilliseconds);
 			this.#checkAnnouncements();
 		}
 	}
 
-	/** Ends all faults, and lets everybody find the same. */
-	async calm(): Promise<void> {
+	/** Ends all faults and checks that all nodes converge. */
+	async settle(): Promise<void> {
 		for (const end of this.#faults.values()) {
 			end();
 		}
 
-		for (let passed = 0; passed < calmMilliseconds; passed += 500) {
-			this.#beat();
+		for (let passed = 0; passed < settlingMilliseconds; passed += 500) {
+			this.#writeAll();
 			await this.world.pass(500);
 		}
 
@@ -65,56 +65,56 @@
 		}
 	}
 
-	#beat(): void {
+	#writeAll(): void {
 		for (const [id, target] of this.#targets) {
 			if (target.state !== 'gone') {
-				this.#say(id, target);
+				this.#write(id, target);
 			}
 		}
 	}
 
-	#say(id: string, target: Target): void {
+	#write(id: string, target: Target): void {
 		target.seq += 1;
-		const {life, seq, state} = target;
-		this.world.store.put(id, `{"service":"s","addr":"10.0.0.${life}:1","zone":"z","state":"${state}","born":${life},"seq":${seq},"capacity":{"cpu":1,"mem_mb":1,"gpu":0}}`);
+		const {incarnation, seq, state} = target;
+		this.world.store.put(id, `{"service":"s","addr":"10.0.0.${incarnation}:1","zone":"z","state":"${state}","born":${incarnation},"seq":${seq},"capacity":{"cpu":1,"mem_mb":1,"gpu":0}}`);
 	}
 
 	#change(): void {
-		if (!this.#draws(0.3)) {
+		if (!this.#happens(0.3)) {
 			return;
 		}
 
 		const [id, target] = this.#pick([...this.#targets]);
-		target.saidAt = this.world.clock.now();
-		if (target.state === 'ready' && this.#draws(0.15)) {
+		target.changedAt = this.world.clock.now();
+		if (target.state === 'ready' && this.#happens(0.15)) {
 			this.world.store.put(id, '{"state":"ready"}');
 		} else if (target.state === 'ready') {
 			target.state = 'draining';
-			this.#say(id, target);
-		} else if (target.state === 'draining' && this.#draws(0.5)) {
+			this.#write(id, target);
+		} else if (target.state === 'draining' && this.#happens(0.5)) {
 			target.state = 'gone';
 			this.world.store.put(id, undefined);
 		} else {
-			target.life += 1;
+			target.incarnation += 1;
 			target.seq = 0;
 			target.state = 'ready';
-			this.#say(id, target);
+			this.#write(id, target);
 		}
 	}
 
-	#disturb(): void {
+	#injectFaults(): void {
 		for (const [name, end] of this.#faults) {
-			this.#disturbedAt.set(name, this.world.clock.now());
-			if (this.#draws(0.04)) {
+			this.#faultyAt.set(name, this.world.clock.now());
+			if (this.#happens(0.04)) {
 				this.#faults.delete(name);
 				end();
 			}
 		}
 
-		if (this.#draws(0.15)) {
+		if (this.#happens(0.15)) {
 			const [name, entry] = this.#pick([...this.world.entries]);
 			if (!this.#faults.has(name)) {
-				this.#disturbedAt.set(name, this.world.clock.now());
+				this.#faultyAt.set(name, this.world.clock.now());
 				this.#faults.set(name, this.#pick([() => this.#stop(entry.clock), () => this.#cut(name), () => this.#isolate(name), () => this.#delay(name)])());
 			}
 		}
@@ -123,7 +123,7 @@
 	#stop(clock: EntryClock): () => void {
 		clock.stop();
 		return () => {
-			clock.resume({first: 'network', isCounted: this.#draws(0.5), socketOrder: 0});
+			clock.resume({first: 'network', isCounted: this.#happens(0.5), socketOrder: 0});
 		};
 	}
 
@@ -142,40 +142,40 @@
 		};
 	}
 
-	/** What it sends comes late, also after newer messages of others. */
+	/** Delays the messages of a node, so that they arrive after newer ones of other nodes. */
 	#delay(name: string): () => void {
-		const ways = [...this.world.entries.keys()].map(other => `${name}#1>${other}#1`);
-		for (const way of ways) {
-			this.world.network.delays.set(way, 100 + (this.#random.fraction() * 4000));
+		const routes = [...this.world.entries.keys()].map(other => `${name}#1>${other}#1`);
+		for (const route of routes) {
+			this.world.network.delays.set(route, 100 + (this.#random.fraction() * 4000));
 		}
 
 		return () => {
-			for (const way of ways) {
-				this.world.network.delays.delete(way);
+			for (const route of routes) {
+				this.world.network.delays.delete(route);
 			}
 		};
 	}
 
-	/** Who wasn't disturbed gives no tasks to a target that has announced its leaving for so long. */
+	/** Checks that healthy nodes know about draining and removed targets once the drain time has passed. */
 	#checkAnnouncements(): void {
 		const now = this.world.clock.now();
-		for (const [id, {state, saidAt}] of this.#targets) {
-			if (state === 'ready' || now - saidAt < drainMilliseconds) {
+		for (const [id, {state, changedAt}] of this.#targets) {
+			if (state === 'ready' || now - changedAt < drainMilliseconds) {
 				continue;
 			}
 
-			const aware = new Set(this.world.otherwise(id, 'ready'));
-			const unaware = [...this.world.entries.keys()].filter(name => this.#isInTouch(name) && !aware.has(name));
-			assert.deepEqual(unaware, [], `${id} is ${state} for ${now - saidAt} ms`);
+			const informed = new Set(this.world.otherwise(id, 'ready'));
+			const outdated = [...this.world.entries.keys()].filter(name => this.#isHealthy(name) && !informed.has(name));
+			assert.deepEqual(outdated, [], `${id} is ${state} for ${now - changedAt} ms`);
 		}
 	}
 
-	#isInTouch(name: string): boolean {
-		return this.world.clock.now() - (this.#disturbedAt.get(name) ?? 0) > contactMilliseconds;
+	#isHealthy(name: string): boolean {
+		return this.world.clock.now() - (this.#faultyAt.get(name) ?? 0) > recoveryMilliseconds;
 	}
 
-	#draws(share: number): boolean {
-		return this.#random.fraction() < share;
+	#happens(probability: number): boolean {
+		return this.#random.fraction() < probability;
 	}
 
 	#pick<Item>(items: readonly Item[]): Item {
@@ -184,12 +184,12 @@
 }
 
 for (const seed of seeds) {
-	// Whatever befalls other entries, one that wasn't disturbed itself knows in time which targets leave.
-	test(`entries know in time which targets leave while others fail, seed ${seed}`, async () => {
-		const run = new DrawnRun(seed);
+	// Guards against faults of some nodes that keep healthy ones from learning about draining targets.
+	test(`healthy nodes learn in time which targets are draining while others fail, seed ${seed}`, async () => {
+		const run = new RandomRun(seed);
 		try {
 			await run.play();
-			await run.calm();
+			await run.settle();
 		} finally {
 			run.world.dispose();
 		}
--- a/test/features/listing/replicated-list.test.ts
+++ b/test/features/listing/replicated-list.test.ts
@@ -1,4 +1,4 @@
-/** The list as it's known, whoever has read it. */
+/** Consistency of the replicated target list, regardless of which node reads it. */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
 import {test} from 'node:test';
@@ -6,24 +6,24 @@
 import {TargetTable} from '../../../src/features/listing/target-table.js';
 import type {ListRecord} from '../../../src/features/listing/list-record.js';
 
-type Kept = {readonly key: string; readonly value: Uint8Array | undefined};
+type Value = {readonly key: string; readonly value: Uint8Array | undefined};
 
-/** Keeps the text of each key; a record that repeats it changes nothing. */
-class TextKeeper extends TargetTable {
+/** Stores the text of each key; a record that repeats it is no change. */
+class TextTable extends TargetTable {
 	readonly texts = new Map<string, string>();
 
 	override get snapshot() {
 		return [...this.texts].map(([key, text]) => ({key, value: Buffer.from(text)}));
 	}
 
-	override replaceAll(values: readonly Kept[]): void {
+	override replaceAll(values: readonly Value[]): void {
 		this.texts.clear();
 		for (const value of values) {
 			this.apply(value);
 		}
 	}
 
-	override apply({key, value}: Kept): boolean {
+	override apply({key, value}: Value): boolean {
 		const text = value === undefined ? undefined : Buffer.from(value).toString();
 		const isNew = this.texts.get(key) !== text;
 		if (text === undefined) {
@@ -36,41 +36,41 @@
 	}
 
 	override commit(): void {
-		// Nobody is told.
+		// There are no listeners.
 	}
 }
 
 function listOf() {
-	const keeper = new TextKeeper();
-	return {keeper, list: new ReplicatedList(keeper)};
+	const table = new TextTable();
+	return {table, list: new ReplicatedList(table)};
 }
 
 function recordsOf(from: number, texts: ReadonlyArray<readonly [string, string | undefined]>): readonly ListRecord[] {
 	return texts.map(([key, text], index) => ({offset: from + index, key, value: text === undefined ? undefined : Buffer.from(text)}));
 }
 
-/** A list that was read up to offset 4: `a` is 1, `b` is 2. */
+/** A list that has been read up to offset 4: `a` is 1, `b` is 2. */
 function readerOf() {
-	const {keeper, list} = listOf();
+	const {table, list} = listOf();
 	list.applySnapshot(new Map([['a', Buffer.from('1')]]), 2);
 	list.applyRecords(recordsOf(2, [['a', '1'], ['b', '2']]), 4, true);
-	return {keeper, list};
+	return {table, list};
 }
 
-test('what changed is passed on, and what is only confirmed isn\'t', () => {
+test('an update contains changes, but no records that repeat a value', () => {
 	const reader = readerOf();
 	const follower = listOf();
 	assert.equal(follower.list.applyUpdate(reader.list.updateFor({requestId: 1, from: undefined}), false), true);
 	reader.list.applyRecords(recordsOf(4, [['a', '1'], ['b', '3'], ['a', undefined], ['b', '3']]), 8, true);
-	const passage = reader.list.updateFor({requestId: 2, from: follower.list.next});
-	assert.deepEqual({from: passage.from, next: passage.next}, {from: 4, next: 8});
-	assert.equal(follower.list.applyUpdate(passage, false), true);
-	assert.deepEqual([...follower.keeper.texts], [['b', '3']]);
+	const update = reader.list.updateFor({requestId: 2, from: follower.list.next});
+	assert.deepEqual({from: update.from, next: update.next}, {from: 4, next: 8});
+	assert.equal(follower.list.applyUpdate(update, false), true);
+	assert.deepEqual([...follower.table.texts], [['b', '3']]);
 	assert.equal(follower.list.next, 8);
 });
 
-// A reader that stood still sends what it had read before: the list would go back by as long as it stood.
-test('a passage that is older than what is known has no effect', () => {
+// Guards against reverting the list to the state that a stalled reader had read before.
+test('an outdated update has no effect', () => {
 	const reader = readerOf();
 	const whole = reader.list.updateFor({requestId: 1, from: undefined});
 	const follower = listOf();
@@ -80,22 +80,21 @@
 	follower.list.applyRecords(recordsOf(4, [['a', '5'], ['a', '6']]), 6, true);
 	follower.list.applyUpdate(changes, true);
 	assert.equal(follower.list.applyUpdate(whole, true), false);
-	assert.deepEqual({next: follower.list.next, a: follower.keeper.texts.get('a')}, {next: 6, a: '6'});
+	assert.deepEqual({next: follower.list.next, a: follower.table.texts.get('a')}, {next: 6, a: '6'});
 });
 
-// The store has dropped what came since, and an old list comes late: nobody can tell what it lacks.
-test('a late list is not taken while none is known', () => {
+// Guards against accepting an old list whose missing changes the store has already trimmed.
+test('a late list is rejected while no list is known', () => {
 	const late = readerOf().list.updateFor({requestId: 1, from: undefined});
-	const {keeper, list} = listOf();
+	const {table, list} = listOf();
 	list.applySnapshot(new Map([['a', Buffer.from('7')]]), 9);
 	list.invalidate(9);
 	assert.equal(list.applyUpdate(late, true), false);
-	assert.equal(keeper.texts.get('a'), '7');
+	assert.equal(table.texts.get('a'), '7');
 });
 
-// Some of the newest values are newer than the offset that the store gives for them: told as of that offset, a change between the
-// two would never be told.
-test('a list that isn\'t of one moment is told to nobody', () => {
+// Guards against sending values as of an offset that they are newer than, so that followers would miss the changes in between.
+test('a list that is not consistent as of one offset is not sent to others', () => {
 	const {list} = listOf();
 	list.applySnapshot(new Map([['a', Buffer.from('2')]]), 1);
 	assert.equal(list.isComplete, false);
@@ -103,10 +102,10 @@
 	assert.equal(list.isComplete, false);
 	list.applyRecords(recordsOf(2, [['a', '2']]), 3, true);
 	assert.equal(list.isComplete, true);
-	assert.equal(list.updateFor({requestId: 1, from: 2}).from, undefined, 'who is behind that is told the whole list');
+	assert.equal(list.updateFor({requestId: 1, from: 2}).from, undefined, 'a follower behind that offset gets the whole list');
 });
 
-test('a passage that leaves something out is not taken', () => {
+test('an update that leaves a gap is rejected', () => {
 	const reader = readerOf();
 	reader.list.applyRecords(recordsOf(4, [['a', '5'], ['a', '6']]), 6, true);
 	const {list} = listOf();
@@ -115,18 +114,18 @@
 	assert.equal(list.next, 3);
 });
 
-test('who is far behind is told the whole list', () => {
+test('a follower that is far behind gets the whole list', () => {
 	const reader = readerOf();
 	reader.list.applyRecords(recordsOf(4, Array.from({length: 5000}, (_, index) => ['a', String(index)] as const)), 5004, true);
 	assert.equal(reader.list.updateFor({requestId: 1, from: 4}).from, undefined);
 	assert.equal(reader.list.updateFor({requestId: 1, from: 5000}).from, 5000);
 	const follower = listOf();
 	assert.equal(follower.list.applyUpdate(reader.list.updateFor({requestId: 1, from: 4}), false), true);
-	assert.deepEqual([...follower.keeper.texts], [['a', '4999'], ['b', '2']]);
+	assert.deepEqual([...follower.table.texts], [['a', '4999'], ['b', '2']]);
 });
 
-test('bytes that are no passage are refused and change nothing', () => {
-	const {keeper, list} = readerOf();
+test('malformed updates are rejected and change nothing', () => {
+	const {table, list} = readerOf();
 	for (const records of [Buffer.from([]), Buffer.from([1, 2, 3]), Buffer.from([0, 1]), Buffer.concat([Buffer.from([0]), Buffer.alloc(15), Buffer.from([9])])]) {
 		for (const from of [undefined, 4]) {
 			assert.throws(() => list.applyUpdate({
@@ -135,5 +134,5 @@
 		}
 	}
 
-	assert.equal(keeper.texts.get('b'), '2');
+	assert.equal(table.texts.get('b'), '2');
 });
