--- a/src/features/pool/count-eligible-targets.ts
+++ b/src/features/pool/count-eligible-targets.ts
@@ -1,8 +1,8 @@
-/** Whether room is of use to somebody. */
+/** Matches demand with free capacity. */
 import type {FreeCapacity} from '../execution/free-capacity.js';
 import type {CapacityDemand} from '../execution/capacity-demand.js';
 
-/** How many targets could take a task of those that are waited for. */
-export function countEligibleTargets(wanted: readonly CapacityDemand[], room: readonly FreeCapacity[]): number {
-	return room.filter(share => wanted.some(({service, need}) => service === share.service && need.fitsInto(share.room))).length;
+/** Returns how many targets have enough free capacity for at least one of the waiting tasks. */
+export function countEligibleTargets(demand: readonly CapacityDemand[], freeCapacity: readonly FreeCapacity[]): number {
+	return freeCapacity.filter(share => demand.some(({service, need}) => service === share.service && need.fitsInto(share.room))).length;
 }
--- a/src/features/pool/node-state.ts
+++ b/src/features/pool/node-state.ts
@@ -1,13 +1,13 @@
-/** What an entry tells of itself. */
+/** The state that a node publishes to its peers. */
 import type {FreeCapacity} from '../execution/free-capacity.js';
 import type {CapacityDemand} from '../execution/capacity-demand.js';
 
-/** Sent to all other entries regularly, as a heartbeat. */
+/** Sent to all peers periodically, as the heartbeat. */
 export type NodeState = {
 	readonly isLeaving: boolean;
 	readonly routingVersion: number;
-	/** What its waiting tasks need at least; empty where none waits. */
+	/** The minimum needs of the waiting tasks; empty if none waits. */
 	readonly demand: readonly CapacityDemand[];
-	/** The room of each target that takes new tasks. */
+	/** The free capacity of each target that accepts new tasks. */
 	readonly freeCapacity: readonly FreeCapacity[];
 };
