--- a/src/features/profiles/change-outcome.ts
+++ b/src/features/profiles/change-outcome.ts
@@ -1,7 +1,7 @@
-/** What became of an operator's change. */
+/** The outcome of an operator's change. */
 import type {ConfigurationRecord} from './configuration-record.js';
 
 type Snapshot = Extract<ConfigurationRecord, {kind: 'snapshot'}>;
 
-/** The same on every entry, since the order of the log alone decides. */
+/** Identical on every entry, because it depends only on the order of the log. */
 export type ChangeOutcome = Snapshot['changes'][number];
--- a/src/features/profiles/configuration-message-schema.ts
+++ b/src/features/profiles/configuration-message-schema.ts
@@ -1,4 +1,4 @@
-/** What entries tell each other of the configuration. */
+/** Messages between entries that synchronize the configuration. */
 import * as z from 'zod';
 import {jsonValueSchema} from '../../base/json-value-schema.js';
 import type {StreamOffset} from '../../base/stream-offset.js';
@@ -7,7 +7,10 @@
 const offset = z.int().min(0).transform(number => number as StreamOffset);
 const digest = z.string().max(64);
 
-/** `have` goes out now and then and on each change; whoever is behind answers `need` and gets records or the state. */
+/**
+ * `have` is sent periodically and on each change. A peer that is behind replies with `need` and receives the missing
+ * records (`tail`) or a snapshot (`state`).
+ */
 export const configurationMessageSchema = z.discriminatedUnion('kind', [
 	z.object({kind: z.literal('have'), nextOffset: offset, digest}),
 	z.object({kind: z.literal('need'), from: offset}),
--- a/src/features/profiles/configuration-of.ts
+++ b/src/features/profiles/configuration-of.ts
@@ -1,8 +1,8 @@
-/** Turns a snapshot back into a configuration. */
+/** Restores a configuration from a snapshot. */
 import type {Configuration} from './configuration.js';
 import type {ConfigurationRecord} from './configuration-record.js';
 
-/** The state before the record at the snapshot's `upTo`. */
+/** Returns the configuration before the record at offset `upTo`. */
 export function configurationOf(snapshot: Extract<ConfigurationRecord, {kind: 'snapshot'}>): Configuration {
 	return {
 		nextOffset: snapshot.upTo,
--- a/src/features/profiles/configuration-record-schema.ts
+++ b/src/features/profiles/configuration-record-schema.ts
@@ -1,4 +1,4 @@
-/** The records of the configuration stream. */
+/** Schema of the records in the configuration stream. */
 import * as z from 'zod';
 import type {ProfileName} from '../../base/profile-name.js';
 import type {Revision} from '../../base/revision.js';
@@ -8,7 +8,7 @@
 const changeFields = {
 	version: z.literal(1),
 	changeId: z.string().min(8).max(64),
-	/** Who made the change and when (milliseconds since the epoch); told by `history`, decides nothing. */
+	/** Author and time (milliseconds since the epoch) of the change; informational, shown by the `history` command. */
 	operator: z.string().max(128).default(''),
 	at: z.number().default(0),
 };
@@ -32,12 +32,12 @@
 		offset,
 		name,
 		cause: z.enum(['exists', 'absent', 'superseded']),
-		/** The revision that stood when the change came. */
+		/** The current revision when the change was applied. */
 		winner: revision.optional(),
 	}),
 ]);
 
-/** A change by an operator, or a copy of the whole state that stands for all records before its `upTo`. */
+/** A change by an operator, or a snapshot of the state that replaces all records before offset `upTo`. */
 export const configurationRecordSchema = z.discriminatedUnion('kind', [
 	z.strictObject({kind: z.literal('publish'), ...changeFields, profile: profileSchema}),
 	z.strictObject({
--- a/src/features/profiles/configuration-record.ts
+++ b/src/features/profiles/configuration-record.ts
@@ -1,6 +1,6 @@
-/** A record of the configuration stream after its check. */
+/** A validated record of the configuration stream. */
 import type {z} from 'zod';
 import type {configurationRecordSchema} from './configuration-record-schema.js';
 
-/** A change or a snapshot. */
+/** An operator's change, or a snapshot of the state. */
 export type ConfigurationRecord = z.output<typeof configurationRecordSchema>;
--- a/src/features/profiles/configuration-replica.ts
+++ b/src/features/profiles/configuration-replica.ts
@@ -1,27 +1,27 @@
-/** The configuration with the rule that it only goes forward. */
+/** Replica of the configuration whose offset never decreases. */
 import type {StreamOffset} from '../../base/stream-offset.js';
 import type {StreamPage} from '../../runtime/stream/stream-page.js';
 import type {StreamRecord} from '../../runtime/stream/stream-record.js';
-import type {Acceptance} from './acceptance.js';
+import type {ApplyResult} from './apply-result.js';
 import type {Configuration} from './configuration.js';
 import {configurationOf} from './configuration-of.js';
 import type {ConfigurationRecord} from './configuration-record.js';
 import {configurationRecordSchema} from './configuration-record-schema.js';
 import {emptyConfiguration} from './empty-configuration.js';
-import type {Folded} from './folded.js';
+import type {FoldResult} from './fold-result.js';
 import {foldRecord} from './fold-record.js';
-import type {LedgerProblem} from './ledger-problem.js';
+import type {SourceProblem} from './source-problem.js';
 
-/** Records kept for peers that are a little behind, and to notice a log whose records changed. */
-const tailRecords = 500;
-/** Records kept while a reader that lost its place looks for a snapshot. */
-const gapRecords = 20_000;
+/** Recent records kept to update peers that lag slightly and to detect a log whose records were replaced. */
+const maxTailRecords = 500;
+/** Records buffered after a gap in the log until a snapshot covers the gap. */
+const maxGapRecords = 20_000;
 
 type Snapshot = Extract<ConfigurationRecord, {kind: 'snapshot'}>;
 
 /**
- * Takes records from the log and from peers in any order and any number of times. A source that disagrees with what was
- * folded is refused and reported: the configuration in force stays as it is.
+ * Applies records from the log and from peers, in any order and with duplicates. A source that contradicts the applied
+ * records is rejected and reported, and the current configuration stays unchanged.
  */
 export class ConfigurationReplica {
 	#configuration = emptyConfiguration;
@@ -35,17 +35,17 @@
 		return this.#configuration;
 	}
 
-	/** False until a source has said where the stream ends, be it at 0. */
+	/** False until the replica has reached the end of the log, or has been updated by a peer. */
 	get isLoaded(): boolean {
 		return this.#isLoaded;
 	}
 
-	/** The offset of the latest snapshot that was folded or loaded. */
+	/** Offset of the latest snapshot record that was folded. */
 	get latestSnapshot(): StreamOffset | undefined {
 		return this.#latestSnapshot;
 	}
 
-	/** Where to read from: the last folded record is read again, since a changed one tells of a replaced log. */
+	/** Offset of the next read. Rereads the last folded record, so that a replaced log is detected. */
 	get nextReadOffset(): StreamOffset {
 		const last = this.#gap.at(-1);
 		if (last !== undefined) {
@@ -56,22 +56,22 @@
 		return (this.#tail.length > 0 ? nextOffset - 1 : nextOffset) as StreamOffset;
 	}
 
-	/** Takes what a read from the log returned. */
-	applyPage(page: StreamPage): Acceptance {
+	/** Applies a page read from the log. */
+	applyPage(page: StreamPage): ApplyResult {
 		const {nextOffset} = this.#configuration;
-		// A log that lost its end would take operators' changes at offsets that were in force before with another
-		// content; following it would put a newer configuration back to an older one.
+		// A truncated log may assign new changes to offsets that were already applied. Following it would roll the
+		// configuration back.
 		if (page.nextOffset < nextOffset) {
 			return {steps: [], problem: 'wentBack'};
 		}
 
-		const acceptance = this.#acceptRecords(page.records, page.firstOffset);
-		this.#isLoaded ||= acceptance.problem === undefined && this.#configuration.nextOffset >= page.nextOffset;
-		return acceptance;
+		const result = this.#applyRecords(page.records, page.firstOffset);
+		this.#isLoaded ||= result.problem === undefined && this.#configuration.nextOffset >= page.nextOffset;
+		return result;
 	}
 
-	/** Takes a peer's records that follow the given offset and digest. */
-	acceptTail(from: StreamOffset, digest: string, records: readonly StreamRecord[]): Acceptance {
+	/** Applies a peer's records that follow the given offset and digest. */
+	applyTail(from: StreamOffset, digest: string, records: readonly StreamRecord[]): ApplyResult {
 		if (from !== this.#configuration.nextOffset) {
 			return {steps: []};
 		}
@@ -80,13 +80,13 @@
 			return {steps: [], problem: 'replaced'};
 		}
 
-		const acceptance = this.#acceptRecords(records, from);
-		this.#isLoaded ||= acceptance.problem === undefined;
-		return acceptance;
+		const result = this.#applyRecords(records, from);
+		this.#isLoaded ||= result.problem === undefined;
+		return result;
 	}
 
-	/** Takes a peer's whole state if it's ahead. */
-	acceptState(snapshot: Snapshot): Acceptance {
+	/** Loads a peer's snapshot if it is ahead of this replica. */
+	applySnapshot(snapshot: Snapshot): ApplyResult {
 		const isBehind = snapshot.upTo > this.#configuration.nextOffset;
 		if (!isBehind && (this.#isLoaded || snapshot.upTo < this.#configuration.nextOffset)) {
 			return {steps: []};
@@ -97,7 +97,7 @@
 		return {steps: [{configuration: this.#configuration}]};
 	}
 
-	/** The records from an offset on, with the digest before them; none where they are no longer kept. */
+	/** The records from an offset on and the digest before them, or undefined if they are no longer kept. */
 	tailFrom(from: StreamOffset): {readonly digest: string; readonly records: readonly StreamRecord[]} | undefined {
 		const first = this.#configuration.nextOffset - this.#tail.length;
 		if (from < first || from > this.#configuration.nextOffset) {
@@ -112,10 +112,10 @@
 		return {digest, records: this.#tail.slice(from - first)};
 	}
 
-	#acceptRecords(records: readonly StreamRecord[], firstOffset: StreamOffset): Acceptance {
-		const steps: Folded[] = [];
+	#applyRecords(records: readonly StreamRecord[], firstOffset: StreamOffset): ApplyResult {
+		const steps: FoldResult[] = [];
 		for (const record of records) {
-			const problem = this.#acceptRecord(record, steps);
+			const problem = this.#applyRecord(record, steps);
 			if (problem !== undefined) {
 				return {steps, problem};
 			}
@@ -125,10 +125,10 @@
 		return isTrimmed ? {steps, problem: 'trimmed'} : {steps};
 	}
 
-	#acceptRecord(record: StreamRecord, steps: Folded[]): LedgerProblem | undefined {
+	#applyRecord(record: StreamRecord, steps: FoldResult[]): SourceProblem | undefined {
 		const {nextOffset} = this.#configuration;
 		if (record.offset < nextOffset) {
-			return this.#isAsFolded(record) ? undefined : 'replaced';
+			return this.#matchesFolded(record) ? undefined : 'replaced';
 		}
 
 		if (record.offset === nextOffset) {
@@ -136,21 +136,21 @@
 			return undefined;
 		}
 
-		this.#acceptBeyondGap(record, steps);
+		this.#bufferBeyondGap(record, steps);
 		return undefined;
 	}
 
-	#isAsFolded(record: StreamRecord): boolean {
+	#matchesFolded(record: StreamRecord): boolean {
 		const kept = this.#tail[record.offset - (this.#configuration.nextOffset - this.#tail.length)];
 		return kept === undefined || JSON.stringify(kept.body) === JSON.stringify(record.body);
 	}
 
-	#fold(record: StreamRecord): Folded {
+	#fold(record: StreamRecord): FoldResult {
 		const folded = foldRecord(this.#configuration, record);
 		this.#configuration = folded.configuration;
 		this.#latestSnapshot = folded.isSnapshot === true ? record.offset : this.#latestSnapshot;
 		this.#tail.push(record);
-		if (this.#tail.length > tailRecords) {
+		if (this.#tail.length > maxTailRecords) {
 			const dropped = this.#tail.shift()!;
 			this.#tailDigest = foldRecord({...emptyConfiguration, digest: this.#tailDigest}, dropped).configuration.digest;
 		}
@@ -158,14 +158,14 @@
 		return folded;
 	}
 
-	/** Keeps records that can't be folded yet until a snapshot tells the state before one of them. */
-	#acceptBeyondGap(record: StreamRecord, steps: Folded[]): void {
+	/** Buffers records beyond a gap until a snapshot provides the state before one of them. */
+	#bufferBeyondGap(record: StreamRecord, steps: FoldResult[]): void {
 		if (this.#gap.length > 0 && record.offset !== this.#gap.at(-1)!.offset + 1) {
 			this.#gap = [];
 		}
 
 		this.#gap.push(record);
-		if (this.#gap.length > gapRecords) {
+		if (this.#gap.length > maxGapRecords) {
 			this.#gap.shift();
 		}
 
--- a/src/features/profiles/empty-configuration.ts
+++ b/src/features/profiles/empty-configuration.ts
@@ -1,8 +1,8 @@
-/** The configuration before the first record. */
+/** The initial configuration. */
 import type {StreamOffset} from '../../base/stream-offset.js';
 import type {Configuration} from './configuration.js';
 
-/** Offset 0, no profile. */
+/** Offset 0, without profiles. */
 export const emptyConfiguration: Configuration = {
 	nextOffset: 0 as StreamOffset,
 	digest: '',
--- a/src/features/profiles/fold-record.ts
+++ b/src/features/profiles/fold-record.ts
@@ -1,4 +1,4 @@
-/** The one rule by which records become configuration. */
+/** Reducer that derives the configuration from the records of its stream. */
 import {match} from 'ts-pattern';
 import type {ProfileName} from '../../base/profile-name.js';
 import type {Revision} from '../../base/revision.js';
@@ -8,50 +8,50 @@
 import type {Configuration} from './configuration.js';
 import type {ConfigurationRecord} from './configuration-record.js';
 import {configurationRecordSchema} from './configuration-record-schema.js';
-import type {Folded} from './folded.js';
+import type {FoldResult} from './fold-result.js';
 import {nextDigest} from './next-digest.js';
 import type {ProfileRevision} from './profile-revision.js';
 import type {SkippedRecord} from './skipped-record.js';
 
-/** Outcomes that are remembered, so that a second append of the same change does nothing. */
-const rememberedChanges = 1000;
+/** Number of recent outcomes kept to ignore a change that is appended again. */
+const maxRetainedOutcomes = 1000;
 const knownVersion = 1;
 
 type Change = Exclude<ConfigurationRecord, {kind: 'snapshot'}>;
 type Rejection = {readonly cause: 'exists' | 'absent' | 'superseded'; readonly winner?: Revision};
 
 /**
- * Folds one record, which must be the one at `nextOffset`. A pure function of the records: operators who race each
- * other are decided by the order of the log and the revision that each change was based on.
+ * Folds one record, which must be the one at `nextOffset`. Pure function: concurrent changes are resolved by their order
+ * in the log and by the revision that each is based on.
  */
-export function foldRecord(before: Configuration, record: StreamRecord): Folded {
-	const passed: Configuration = {
-		...before,
+export function foldRecord(previous: Configuration, record: StreamRecord): FoldResult {
+	const advanced: Configuration = {
+		...previous,
 		nextOffset: (record.offset + 1) as StreamOffset,
-		digest: nextDigest(before.digest, record),
+		digest: nextDigest(previous.digest, record),
 	};
 	const checked = configurationRecordSchema.safeParse(record.body);
 	if (!checked.success) {
-		return {configuration: passed, skipped: skippedRecord(record, checked.error.issues[0]?.message ?? 'unreadable')};
+		return {configuration: advanced, skipped: skippedRecordOf(record, checked.error.issues[0]?.message ?? 'unreadable')};
 	}
 
-	// A reader that folds record by record knows all that a snapshot could tell it.
+	// The state in a snapshot is already known to a reader that folded all records before it.
 	if (checked.data.kind === 'snapshot') {
-		return {configuration: passed, isSnapshot: true};
+		return {configuration: advanced, isSnapshot: true};
 	}
 
-	return foldChange(passed, checked.data, record.offset);
+	return foldChange(advanced, checked.data, record.offset);
 }
 
-function foldChange(passed: Configuration, change: Change, offset: StreamOffset): Folded {
-	// The append of a change whose reply was lost may be made again: the first copy has decided.
-	const earlier = passed.changes.get(change.changeId);
+function foldChange(advanced: Configuration, change: Change, offset: StreamOffset): FoldResult {
+	// A change whose reply was lost may be appended again; the first occurrence determines the outcome.
+	const earlier = advanced.changes.get(change.changeId);
 	if (earlier !== undefined) {
-		return {configuration: passed, outcome: earlier};
+		return {configuration: advanced, outcome: earlier};
 	}
 
 	const name = change.kind === 'retire' ? change.name : change.profile.name;
-	const rejection = rejectionOf(passed.profiles.get(name), change);
+	const rejection = rejectionOf(advanced.profiles.get(name), change);
 	const outcome: ChangeOutcome = rejection === undefined
 		? {
 			kind: 'accepted', changeId: change.changeId, offset, name,
@@ -59,14 +59,14 @@
 		: {
 			kind: 'rejected', changeId: change.changeId, offset, name, ...rejection,
 		};
-	const changes = remembered(passed.changes, outcome);
+	const changes = withOutcome(advanced.changes, outcome);
 	if (rejection !== undefined) {
-		return {configuration: {...passed, changes}, outcome};
+		return {configuration: {...advanced, changes}, outcome};
 	}
 
-	const profiles = new Map(passed.profiles);
-	profiles.set(name, revisionAfter(passed, change, name, offset));
-	return {configuration: {...passed, profiles, changes}, outcome};
+	const profiles = new Map(advanced.profiles);
+	profiles.set(name, revisionAfter(advanced, change, name, offset));
+	return {configuration: {...advanced, profiles, changes}, outcome};
 }
 
 function rejectionOf(current: ProfileRevision | undefined, change: Change): Rejection | undefined {
@@ -95,11 +95,11 @@
 	return {profile: change.profile, revision, state: 'live'};
 }
 
-function remembered(changes: ReadonlyMap<string, ChangeOutcome>, outcome: ChangeOutcome): ReadonlyMap<string, ChangeOutcome> {
+function withOutcome(changes: ReadonlyMap<string, ChangeOutcome>, outcome: ChangeOutcome): ReadonlyMap<string, ChangeOutcome> {
 	const next = new Map(changes);
 	next.set(outcome.changeId, outcome);
 	for (const oldest of next.keys()) {
-		if (next.size <= rememberedChanges) {
+		if (next.size <= maxRetainedOutcomes) {
 			break;
 		}
 
@@ -109,7 +109,7 @@
 	return next;
 }
 
-function skippedRecord(record: StreamRecord, detail: string): SkippedRecord {
+function skippedRecordOf(record: StreamRecord, detail: string): SkippedRecord {
 	const {body} = record;
 	const version = typeof body === 'object' && body !== null && 'version' in body ? body.version : undefined;
 	const isNewer = typeof version === 'number' && version > knownVersion;
--- a/src/features/profiles/folded.ts
+++ b/src/features/profiles/fold-result.ts
@@ -3,8 +3,8 @@
 import type {Configuration} from './configuration.js';
 import type {SkippedRecord} from './skipped-record.js';
 
-/** The next state, and what there is to say about the record. */
-export type Folded = {
+/** The next state, and the outcome of the record. */
+export type FoldResult = {
 	readonly configuration: Configuration;
 	readonly outcome?: ChangeOutcome;
 	readonly skipped?: SkippedRecord;
--- a/src/features/profiles/profile-revision.ts
+++ b/src/features/profiles/profile-revision.ts
@@ -1,8 +1,8 @@
-/** A profile at one point of its history. */
+/** One revision of a profile. */
 import type {Revision} from '../../base/revision.js';
 import type {Profile} from './profile.js';
 
-/** What a job is treated by from start to end; the revision is the offset of the record that made it. */
+/** Applies to a job for its whole lifetime. The revision is the offset of the record that created it. */
 export type ProfileRevision = {
 	readonly profile: Profile;
 	readonly revision: Revision;
--- a/src/features/profiles/profile-service-key.ts
+++ b/src/features/profiles/profile-service-key.ts
@@ -1,6 +1,6 @@
-/** The container's name for the profiles in force. */
+/** Service key of the profile service. */
 import {ServiceKey} from '../../runtime/kernel/service-key.js';
 import type {ProfileService} from './profile-service.js';
 
-/** Provided by the profiles feature. */
+/** Key of the service provided by the profiles feature. */
 export const profileServiceKey = new ServiceKey<ProfileService>('profile-service');
--- a/src/features/profiles/profile-service.ts
+++ b/src/features/profiles/profile-service.ts
@@ -1,17 +1,17 @@
-/** The profiles in force at this entry. */
+/** Access to the profiles that apply at this entry. */
 import type {ProfileName} from '../../base/profile-name.js';
 import type {Event} from '../../base/event.js';
 import type {Configuration} from './configuration.js';
 import type {ProfileRevision} from './profile-revision.js';
 
-/** Read by the features that treat jobs. What it gives never goes back to an earlier offset. */
+/** Provides the current configuration, whose offset never decreases. */
 export abstract class ProfileService {
-	/** False until the first configuration has come from the log or from a peer. */
+	/** False until the configuration has been loaded from the log or from a peer. */
 	abstract readonly isLoaded: boolean;
 
 	abstract readonly configuration: Configuration;
 
-	/** Fires after each step forward. */
+	/** Fires after the configuration has advanced. */
 	abstract readonly onDidChangeConfiguration: Event<Configuration>;
 
 	abstract profileNamed(name: ProfileName): ProfileRevision | undefined;
--- a/src/features/profiles/profile.ts
+++ b/src/features/profiles/profile.ts
@@ -1,6 +1,6 @@
-/** A checked profile. */
+/** A validated profile. */
 import type {z} from 'zod';
 import type {profileSchema} from './profile-schema.js';
 
-/** How a class of work is treated; docs/operations/profiles.md describes each key. */
+/** Scheduling settings for a class of jobs; docs/operations/profiles.md describes each key. */
 export type Profile = z.output<typeof profileSchema>;
--- a/src/features/profiles/profiles.contribution.ts
+++ b/src/features/profiles/profiles.contribution.ts
@@ -5,8 +5,8 @@
 import type {ServiceContainer} from '../../runtime/kernel/service-container.js';
 import {runtimeKeys} from '../../runtime/runtime-keys.js';
 import {membershipKey} from '../membership/membership-key.js';
-import {LogProfileBook} from './log-profile-book.js';
-import {SnapshotKeeper} from './snapshot-keeper.js';
+import {ReplicatedProfileService} from './replicated-profile-service.js';
+import {SnapshotWriter} from './snapshot-writer.js';
 import {profileServiceKey} from './profile-service-key.js';
 
 const streamName = 'configuration';
@@ -16,7 +16,7 @@
 	override readonly requires = ['membership'];
 
 	override activate(services: ServiceContainer, store: DisposableStore): void {
-		const book = store.add(new LogProfileBook({
+		const profileService = store.add(new ReplicatedProfileService({
 			stream: services.get(runtimeKeys.streams).open(streamName),
 			network: services.get(runtimeKeys.peerNetwork),
 			membership: services.get(membershipKey),
@@ -24,16 +24,16 @@
 			random: services.get(runtimeKeys.random),
 			journal: services.get(runtimeKeys.journal),
 		}));
-		services.provide(profileServiceKey, book);
-		const keeper = store.add(new SnapshotKeeper({
-			book,
+		services.provide(profileServiceKey, profileService);
+		const snapshotWriter = store.add(new SnapshotWriter({
+			profileService,
 			stream: services.get(runtimeKeys.streams).open(streamName),
 			clock: services.get(runtimeKeys.clock),
 			random: services.get(runtimeKeys.random),
 			journal: services.get(runtimeKeys.journal),
-			latestSnapshot: () => book.latestSnapshot,
+			latestSnapshot: () => profileService.latestSnapshot,
 		}));
-		keeper.start();
-		book.start();
+		snapshotWriter.start();
+		profileService.start();
 	}
 }());
--- a/src/features/profiles/log-profile-book.ts
+++ b/src/features/profiles/replicated-profile-service.ts
@@ -1,4 +1,4 @@
-/** The profiles in force, followed from the platform's log and from peers. */
+/** Profiles replicated from the platform's log and from peers. */
 import {match} from 'ts-pattern';
 import type {z} from 'zod';
 import {CancellationSource} from '../../base/cancellation-source.js';
@@ -16,7 +16,7 @@
 import type {PeerNetwork} from '../../runtime/peers/peer-network.js';
 import type {LogStream} from '../../runtime/stream/log-stream.js';
 import type {Membership} from '../membership/membership.js';
-import type {Acceptance} from './acceptance.js';
+import type {ApplyResult} from './apply-result.js';
 import type {Configuration} from './configuration.js';
 import {ConfigurationReplica} from './configuration-replica.js';
 import {configurationMessageSchema} from './configuration-message-schema.js';
@@ -25,19 +25,19 @@
 import {snapshotOf} from './snapshot-of.js';
 
 const channel = 'configuration';
-/** The longest wait of one read; the log answers as soon as there is a record. */
+/** Long-poll timeout of a read; the log replies as soon as a record is available. */
 const readWaitMilliseconds = 10_000;
-const failedReadPauseMilliseconds = 500;
-/** How often an entry tells some peers what it has, changed or not. */
+const failedReadDelayMilliseconds = 500;
+/** Interval at which an entry sends its offset and digest to random peers. */
 const gossipPeriodMilliseconds = 3000;
-/** Of news each entry tells so many others at once: they reach a fleet in rounds that grow with its logarithm. */
-const newsFanout = 3;
-/** Without news one other is told, in case a message was lost. */
-const quietFanout = 1;
+/** Peers informed of an update at once. Updates reach all entries in a number of rounds logarithmic in the fleet size. */
+const updateFanout = 3;
+/** Peers informed periodically without an update, to recover from lost messages. */
+const idleFanout = 1;
 
 type Message = z.output<typeof configurationMessageSchema>;
 
-type LogProfileBookParts = {
+type ReplicatedProfileServiceParts = {
 	readonly stream: LogStream;
 	readonly network: PeerNetwork;
 	readonly membership: Membership;
@@ -46,36 +46,36 @@
 	readonly journal: Journal;
 };
 
-/** Owns the reading loop, the ledger, and the exchange with peers. */
-export class LogProfileBook extends ProfileService implements Disposable {
-	readonly #ledger = new ConfigurationReplica();
-	readonly #advance = new Emitter<Configuration>();
+/** Runs the read loop, owns the configuration replica and exchanges updates with peers by gossip. */
+export class ReplicatedProfileService extends ProfileService implements Disposable {
+	readonly #replica = new ConfigurationReplica();
+	readonly #changeEmitter = new Emitter<Configuration>();
 	readonly #cancellation = new CancellationSource();
 	readonly #store = new DisposableStore();
 	#problem: string | undefined;
 
-	constructor(private readonly parts: LogProfileBookParts) {
+	constructor(private readonly parts: ReplicatedProfileServiceParts) {
 		super();
 	}
 
 	override get isLoaded(): boolean {
-		return this.#ledger.isLoaded;
+		return this.#replica.isLoaded;
 	}
 
 	override get configuration(): Configuration {
-		return this.#ledger.configuration;
+		return this.#replica.configuration;
 	}
 
 	override get onDidChangeConfiguration() {
-		return this.#advance.event;
+		return this.#changeEmitter.event;
 	}
 
-	/** See the ledger. */
+	/** Offset of the latest snapshot record that was folded. */
 	get latestSnapshot(): number | undefined {
-		return this.#ledger.latestSnapshot;
+		return this.#replica.latestSnapshot;
 	}
 
-	/** What is wrong with the log at present, for the status. */
+	/** Current problem with the log, shown in the status. */
 	get problem(): string | undefined {
 		return this.#problem;
 	}
@@ -91,7 +91,7 @@
 			}
 		}));
 		this.#store.add(repeat(this.parts.clock, gossipPeriodMilliseconds, () => {
-			this.#gossip(quietFanout);
+			this.#gossip(idleFanout);
 		}));
 		void this.#follow();
 	}
@@ -99,48 +99,48 @@
 	dispose(): void {
 		this.#cancellation.cancel();
 		this.#store.dispose();
-		this.#advance.dispose();
+		this.#changeEmitter.dispose();
 	}
 
 	async #follow(): Promise<void> {
 		while (!this.#cancellation.token.isCancellationRequested) {
 			const hasProgress = await this.#readOnce();
 			if (!hasProgress) {
-				await wait(this.parts.clock, failedReadPauseMilliseconds);
+				await wait(this.parts.clock, failedReadDelayMilliseconds);
 			}
 		}
 	}
 
-	/** Returns whether the next read may follow at once. */
+	/** Returns whether to read again without delay. */
 	async #readOnce(): Promise<boolean> {
 		const wait = this.isLoaded ? readWaitMilliseconds : 0;
-		const reading = await this.parts.stream.read(this.#ledger.nextReadOffset, wait, this.#cancellation.token);
+		const reading = await this.parts.stream.read(this.#replica.nextReadOffset, wait, this.#cancellation.token);
 		if (reading.kind === 'unavailable') {
-			this.#noteProblem('unavailable', reading.detail);
+			this.#reportProblem('unavailable', reading.detail);
 			return false;
 		}
 
-		const acceptance = this.#ledger.applyPage(reading.page);
-		this.#accept(acceptance, 'log');
-		this.#noteProblem(acceptance.problem, `the log ends at ${reading.page.nextOffset}`);
-		return acceptance.steps.length > 0;
+		const result = this.#replica.applyPage(reading.page);
+		this.#publishSteps(result, 'log');
+		this.#reportProblem(result.problem, `the log ends at ${reading.page.nextOffset}`);
+		return result.steps.length > 0;
 	}
 
-	#accept(acceptance: Acceptance, source: string): void {
-		for (const step of acceptance.steps) {
-			this.#describe(step);
+	#publishSteps(result: ApplyResult, source: string): void {
+		for (const step of result.steps) {
+			this.#logStep(step);
 		}
 
-		if (acceptance.steps.length === 0) {
+		if (result.steps.length === 0) {
 			return;
 		}
 
 		this.parts.journal.record('configurationAdvanced', {nextOffset: this.configuration.nextOffset, source});
-		this.#advance.fire(this.configuration);
-		this.#gossip(newsFanout);
+		this.#changeEmitter.fire(this.configuration);
+		this.#gossip(updateFanout);
 	}
 
-	#describe(step: Acceptance['steps'][number]): void {
+	#logStep(step: ApplyResult['steps'][number]): void {
 		const offset = step.configuration.nextOffset - 1;
 		if (step.skipped !== undefined) {
 			const event = step.skipped.kind === 'newer' ? 'newerRecordSkipped' : 'recordSkipped';
@@ -156,8 +156,8 @@
 		}
 	}
 
-	/** Logs a problem when it begins and when it ends, not at every read. */
-	#noteProblem(problem: string | undefined, detail: string): void {
+	/** Logs a problem when it starts and when it ends, not on every read. */
+	#reportProblem(problem: string | undefined, detail: string): void {
 		if (problem === this.#problem) {
 			return;
 		}
@@ -174,14 +174,14 @@
 
 	#gossip(fanout: number): void {
 		if (!this.isLoaded) {
-			this.#tell({kind: 'need', from: this.configuration.nextOffset}, newsFanout);
+			this.#sendToRandomPeers({kind: 'need', from: this.configuration.nextOffset}, updateFanout);
 			return;
 		}
 
-		this.#tell({kind: 'have', nextOffset: this.configuration.nextOffset, digest: this.configuration.digest}, fanout);
+		this.#sendToRandomPeers({kind: 'have', nextOffset: this.configuration.nextOffset, digest: this.configuration.digest}, fanout);
 	}
 
-	#tell(message: Message, fanout: number): void {
+	#sendToRandomPeers(message: Message, fanout: number): void {
 		for (const peer of this.parts.random.sample(this.parts.membership.all, fanout)) {
 			this.#send(peer, message);
 		}
@@ -200,21 +200,21 @@
 
 		match(checked.data)
 			.with({kind: 'have'}, ({nextOffset, digest}) => {
-				this.#compare(from, nextOffset, digest);
+				this.#compareWithPeer(from, nextOffset, digest);
 			})
 			.with({kind: 'need'}, ({from: offset}) => {
-				this.#supply(from, offset);
+				this.#sendRecords(from, offset);
 			})
 			.with({kind: 'tail'}, ({from: offset, digest, records}) => {
-				this.#acceptFromPeer(from, this.#ledger.acceptTail(offset, digest, records));
+				this.#applyFromPeer(from, this.#replica.applyTail(offset, digest, records));
 			})
 			.with({kind: 'state'}, ({snapshot}) => {
-				this.#acceptFromPeer(from, this.#ledger.acceptState(snapshot));
+				this.#applyFromPeer(from, this.#replica.applySnapshot(snapshot));
 			})
 			.exhaustive();
 	}
 
-	#compare(from: Member, nextOffset: number, digest: string): void {
+	#compareWithPeer(from: Member, nextOffset: number, digest: string): void {
 		const mine = this.configuration;
 		if (nextOffset > mine.nextOffset || !this.isLoaded) {
 			this.#send(from, {kind: 'need', from: mine.nextOffset});
@@ -225,12 +225,12 @@
 		}
 	}
 
-	#supply(to: Member, from: StreamOffset): void {
+	#sendRecords(to: Member, from: StreamOffset): void {
 		if (!this.isLoaded) {
 			return;
 		}
 
-		const tail = this.#ledger.tailFrom(from);
+		const tail = this.#replica.tailFrom(from);
 		this.#send(to, tail === undefined
 			? {kind: 'state', snapshot: snapshotOf(this.configuration)}
 			: {
@@ -238,11 +238,11 @@
 			});
 	}
 
-	#acceptFromPeer(peer: Member, acceptance: Acceptance): void {
-		if (acceptance.problem !== undefined) {
+	#applyFromPeer(peer: Member, result: ApplyResult): void {
+		if (result.problem !== undefined) {
 			this.parts.journal.record('peerDisagrees', {peer: peer.id, nextOffset: this.configuration.nextOffset});
 		}
 
-		this.#accept(acceptance, peer.id);
+		this.#publishSteps(result, peer.id);
 	}
 }
--- a/src/features/profiles/skipped-record.ts
+++ b/src/features/profiles/skipped-record.ts
@@ -1,6 +1,6 @@
-/** Why the fold passed over a record. */
+/** Reason for skipping a record. */
 
-/** `newer`: a later version of the software wrote it; `invalid`: nobody can read it. */
+/** `newer`: written by a later version of the software; `invalid`: fails validation. */
 export type SkippedRecord = {
 	readonly kind: 'newer' | 'invalid';
 	readonly detail: string;
--- a/src/features/profiles/snapshot-of.ts
+++ b/src/features/profiles/snapshot-of.ts
@@ -1,8 +1,8 @@
-/** Turns a configuration into the record that stands for it. */
+/** Converts a configuration to a snapshot record. */
 import type {Configuration} from './configuration.js';
 import type {ConfigurationRecord} from './configuration-record.js';
 
-/** The snapshot record of a state. */
+/** Returns the snapshot record of a configuration. */
 export function snapshotOf(configuration: Configuration): Extract<ConfigurationRecord, {kind: 'snapshot'}> {
 	return {
 		kind: 'snapshot',
--- a/test/features/profiles/configuration-ledger.test.ts
+++ b/test/features/profiles/configuration-replica.test.ts
@@ -1,4 +1,4 @@
-/** The configuration only goes forward, whatever the log does. */
+/** Tests that the configuration never goes back, whatever its sources return. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
@@ -14,7 +14,7 @@
 
 const seed = 20_261_202;
 
-/** A snapshot as the log's JSON carries it. */
+/** The JSON body of a snapshot record. */
 function snapshotBody(configuration: Configuration): JsonValue {
 	const text = JSON.stringify(snapshotOf(configuration));
 	return JSON.parse(text) as JsonValue;
@@ -40,52 +40,50 @@
 
 const three = recordsOf([publish('a', 1), publish('b', 2), publish('c', 3)]);
 
-test('a log that comes back shorter is reported, and changes nothing', () => {
-	// The platform restores its log from a backup that lacks the last change.
-	// Entries that followed it would put a retired profile back into force.
-	const ledger = new ConfigurationReplica();
-	ledger.applyPage(pageOf(three, 0));
-	assert.equal(ledger.applyPage(pageOf(three.slice(0, 2), ledger.nextReadOffset)).problem, 'wentBack');
-	assert.equal(ledger.configuration.nextOffset, 3);
+test('a log that became shorter is reported and changes nothing', () => {
+	// Guards against a rollback when the log is restored from an outdated backup.
+	const replica = new ConfigurationReplica();
+	replica.applyPage(pageOf(three, 0));
+	assert.equal(replica.applyPage(pageOf(three.slice(0, 2), replica.nextReadOffset)).problem, 'wentBack');
+	assert.equal(replica.configuration.nextOffset, 3);
 });
 
-test('a log with another record where one was folded is reported, and not followed', () => {
-	const ledger = new ConfigurationReplica();
-	ledger.applyPage(pageOf(three, 0));
+test('a log whose folded record was replaced is reported and not followed', () => {
+	const replica = new ConfigurationReplica();
+	replica.applyPage(pageOf(three, 0));
 	const other = [...three.slice(0, 2), ...recordsOf([publish('x', 9), publish('y', 10)], 2)];
-	const acceptance = ledger.applyPage(pageOf(other, ledger.nextReadOffset));
-	assert.deepEqual([acceptance.problem, acceptance.steps.length, ledger.configuration.profiles.has('c' as never)], ['replaced', 0, true]);
+	const result = replica.applyPage(pageOf(other, replica.nextReadOffset));
+	assert.deepEqual([result.problem, result.steps.length, replica.configuration.profiles.has('c' as never)], ['replaced', 0, true]);
 });
 
-test('records that were trimmed under a reader are made good by a snapshot', () => {
-	// A new entry starts after the log has forgotten its first records.
-	// It finds a snapshot among the rest and goes on from there; without one it says that it can't know.
+test('a snapshot replaces records that were trimmed from the log', () => {
+	// Guards against a new entry loading an incomplete configuration after the log was trimmed.
 	const afterFirst = foldRecord(emptyConfiguration, three[0]!).configuration;
 	const upTo = foldRecord(afterFirst, three[1]!).configuration;
 	const all = [...three, ...recordsOf([snapshotBody(upTo), publish('d', 4)], 3)];
-	const ledger = new ConfigurationReplica();
-	assert.equal(ledger.applyPage(pageOf(all, 0, 2)).problem, undefined);
-	assert.deepEqual([...ledger.configuration.profiles.keys()], ['a', 'b', 'c', 'd']);
-	const blind = new ConfigurationReplica();
-	assert.deepEqual([blind.applyPage(pageOf(three, 0, 2)).problem, blind.isLoaded], ['trimmed', false]);
+	const replica = new ConfigurationReplica();
+	assert.equal(replica.applyPage(pageOf(all, 0, 2)).problem, undefined);
+	assert.deepEqual([...replica.configuration.profiles.keys()], ['a', 'b', 'c', 'd']);
+	const incomplete = new ConfigurationReplica();
+	assert.deepEqual([incomplete.applyPage(pageOf(three, 0, 2)).problem, incomplete.isLoaded], ['trimmed', false]);
 });
 
-test('a peer with another history is refused', () => {
-	const ledger = new ConfigurationReplica();
-	ledger.applyPage(pageOf(three, 0));
-	const acceptance = ledger.acceptTail(3 as StreamOffset, 'another digest', recordsOf([publish('d', 4)], 3));
-	assert.deepEqual([acceptance.problem, ledger.configuration.nextOffset], ['replaced', 3]);
+test('a peer with a different digest is rejected', () => {
+	const replica = new ConfigurationReplica();
+	replica.applyPage(pageOf(three, 0));
+	const result = replica.applyTail(3 as StreamOffset, 'another digest', recordsOf([publish('d', 4)], 3));
+	assert.deepEqual([result.problem, replica.configuration.nextOffset], ['replaced', 3]);
 });
 
 test('a peer\'s older state changes nothing', () => {
-	const ledger = new ConfigurationReplica();
-	ledger.applyPage(pageOf(three, 0));
+	const replica = new ConfigurationReplica();
+	replica.applyPage(pageOf(three, 0));
 	const older = foldRecord(emptyConfiguration, three[0]!).configuration;
-	ledger.acceptState(snapshotOf(older));
-	assert.equal(ledger.configuration.nextOffset, 3);
+	replica.applySnapshot(snapshotOf(older));
+	assert.equal(replica.configuration.nextOffset, 3);
 });
 
-/** Operators' changes that race, repeat and retire, with bad records and snapshots among them. */
+/** Concurrent and repeated changes, mixed with invalid records and snapshots. */
 const bodies = fc.array(fc.oneof(
 	fc.record({kind: fc.constant('publish'), name: fc.constantFrom('a', 'b'), id: fc.nat({max: 9})}),
 	fc.record({
@@ -97,14 +95,14 @@
 	fc.record({kind: fc.constant('bad')}),
 	fc.record({kind: fc.constant('snapshot')}),
 ), {minLength: 1, maxLength: 30});
-type Drawn = typeof bodies extends fc.Arbitrary<Array<infer Item>> ? Item : never;
+type GeneratedRecord = typeof bodies extends fc.Arbitrary<Array<infer Item>> ? Item : never;
 
-/** The log's records, and the state after each. */
-function history(drawn: readonly Drawn[]) {
+/** Returns the log's records and the state after each. */
+function history(generated: readonly GeneratedRecord[]) {
 	let configuration = emptyConfiguration;
 	const states = [configuration];
 	const records: StreamRecord[] = [];
-	for (const [index, item] of drawn.entries()) {
+	for (const [index, item] of generated.entries()) {
 		const body = item.kind === 'snapshot' ? snapshotBody(configuration) : bodyOf(item);
 		const record = {offset: index as StreamOffset, body};
 		configuration = foldRecord(configuration, record).configuration;
@@ -115,7 +113,7 @@
 	return {records, states};
 }
 
-function bodyOf(item: Drawn): JsonValue {
+function bodyOf(item: GeneratedRecord): JsonValue {
 	if (item.kind === 'bad') {
 		return {kind: 'revise', version: 1};
 	}
@@ -127,38 +125,38 @@
 	return kind === 'retire' ? {...common, name} : {...common, profile: {name, weight: id + 1}};
 }
 
-test('every reader comes to the same state, and none goes back, however it gets the records', () => {
+test('all readers reach the same state and never go back, whatever the source of the records', () => {
 	const reads = fc.array(fc.record({
 		kind: fc.constantFrom('page', 'trimmed', 'tail', 'state', 'old page'), first: fc.nat({max: 30}), end: fc.nat({max: 30}),
 	}), {minLength: 1, maxLength: 25});
-	fc.assert(fc.property(bodies, reads, (drawn, steps) => {
-		const {records, states} = history(drawn);
-		const ledger = new ConfigurationReplica();
+	fc.assert(fc.property(bodies, reads, (generated, steps) => {
+		const {records, states} = history(generated);
+		const replica = new ConfigurationReplica();
 		for (const {kind, first, end} of steps) {
-			const before = ledger.configuration.nextOffset;
+			const before = replica.configuration.nextOffset;
 			const last = Math.min(end, records.length - 1);
-			offer(ledger, {records, states}, {kind, first: Math.min(first, last), last});
-			const {nextOffset, digest} = ledger.configuration;
+			applyStep(replica, {records, states}, {kind, first: Math.min(first, last), last});
+			const {nextOffset, digest} = replica.configuration;
 			assert.ok(nextOffset >= before, 'went back');
 			assert.equal(digest, states[nextOffset]!.digest);
-			assert.deepEqual([...ledger.configuration.profiles], [...states[nextOffset]!.profiles]);
-			assert.deepEqual([...ledger.configuration.changes], [...states[nextOffset]!.changes]);
+			assert.deepEqual([...replica.configuration.profiles], [...states[nextOffset]!.profiles]);
+			assert.deepEqual([...replica.configuration.changes], [...states[nextOffset]!.changes]);
 		}
 	}), {seed, numRuns: 1000});
 });
 
-function offer(
-	ledger: ConfigurationReplica,
+function applyStep(
+	replica: ConfigurationReplica,
 	{records, states}: ReturnType<typeof history>,
 	{kind, first, last}: {readonly kind: string; readonly first: number; readonly last: number},
 ): void {
 	if (kind === 'state') {
-		ledger.acceptState(snapshotOf(states[last + 1]!));
+		replica.applySnapshot(snapshotOf(states[last + 1]!));
 	} else if (kind === 'tail') {
-		ledger.acceptTail(first as StreamOffset, states[first]!.digest, records.slice(first, last + 1));
+		replica.applyTail(first as StreamOffset, states[first]!.digest, records.slice(first, last + 1));
 	} else {
 		const firstOffset = kind === 'trimmed' ? first : 0;
-		const from = kind === 'old page' ? 0 : ledger.nextReadOffset;
-		ledger.applyPage(pageOf(records, from, firstOffset, last));
+		const from = kind === 'old page' ? 0 : replica.nextReadOffset;
+		replica.applyPage(pageOf(records, from, firstOffset, last));
 	}
 }
--- a/test/features/profiles/fold.test.ts
+++ b/test/features/profiles/fold.test.ts
@@ -1,4 +1,4 @@
-/** Which of operators' changes stand. */
+/** Tests which of several changes take effect. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {JsonValue} from '../../../src/base/json-value.js';
@@ -29,9 +29,8 @@
 
 const profile = {name: 'flight-desk'};
 
-test('operators who race each other are decided by the order of the log', () => {
-	// Two operators revise the same profile from the same revision; both commands are appended.
-	// The first stands, the second learns which revision won, and nobody's change is lost unseen.
+test('concurrent changes are resolved by their order in the log', () => {
+	// Guards against a lost update when two operators revise the same revision.
 	matchSnapshot('race', outcomesOf([
 		change('publish', 'a', {profile}),
 		change('revise', 'b', {profile: {...profile, weight: 20}, base: 0}),
@@ -42,8 +41,8 @@
 	]));
 });
 
-test('an append that was made twice takes effect once', () => {
-	// The reply to an append is lost, and the command appends again with the same change id.
+test('a change that is appended twice takes effect once', () => {
+	// Guards against applying a change twice when it is retried after a lost reply.
 	matchSnapshot('twice', outcomesOf([
 		change('publish', 'a', {profile}),
 		change('revise', 'b', {profile, base: 0}),
@@ -51,7 +50,7 @@
 	]));
 });
 
-test('bad records, and those of a later version, are passed over by everyone alike', () => {
+test('invalid records and those of a later version are skipped', () => {
 	const outcomes = outcomesOf(['garbage', {kind: 'publish', version: 1}, {
 		kind: 'publish', version: 2, changeId: 'later-change', profile,
 	}, change('publish', 'a', {profile: {name: 'X'}})]);
