--- a/src/features/submissions/copies.ts
+++ b/src/features/submissions/backup-receiver.ts
@@ -1,9 +1,9 @@
-/** Keeps the copies of records that other registrars decide on. */
+/** Receives the records that other registrars replicate to this one. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {SubmissionId} from '../../base/submission-id.js';
-import type {CircleEntry} from './circle-entry.js';
-import type {CircleView} from './circle-view.js';
+import type {GroupJoin} from './group-join.js';
+import type {GroupView} from './group-view.js';
 import {recordCopyOf} from './record-copy-of.js';
 import type {RecordCopy} from './record-copy.js';
 import type {RecordStore} from './record-store.js';
@@ -13,25 +13,25 @@
 import type {StateTransfer} from './state-transfer.js';
 import type {SubmissionRecord} from './submission-record.js';
 
-type CopiesParts = {
+type BackupReceiverParts = {
 	readonly clock: Clock;
-	readonly view: CircleView;
-	readonly entry: CircleEntry;
+	readonly view: GroupView;
+	readonly groupJoin: GroupJoin;
 	readonly store: RecordStore;
 	readonly replication: Replication;
 	readonly transfer: StateTransfer;
 	readonly send: (to: MemberId, message: RegistryMessage) => void;
 };
 
-/** Refuses the copies of an owner in whose place it may act, so that the owner can't grant any more. */
-export class Copies {
-	constructor(private readonly parts: CopiesParts) {}
+/** Stores copies as the backup. Rejects those of a fenced primary, so that it can't grant any more claims. */
+export class BackupReceiver {
+	constructor(private readonly parts: BackupReceiverParts) {}
 
-	/** Takes an owner's copy, or tells it why not. */
-	take(from: MemberId, {era, record, fenced}: RegistryMessageOf<'copy'>): void {
+	/** Stores a primary's copy and acknowledges it, or replies with the reason for the rejection. */
+	receive(from: MemberId, {era, record, fenced}: RegistryMessageOf<'copy'>): void {
 		const {id, nonce, version} = record;
-		const {clock, view, entry, store, transfer, send} = this.parts;
-		if (!entry.isActive) {
+		const {clock, view, groupJoin, store, transfer, send} = this.parts;
+		if (!groupJoin.isActive) {
 			return;
 		}
 
@@ -46,7 +46,7 @@
 			return;
 		}
 
-		if (!this.#ranksBefore(id, from, fenced)) {
+		if (!this.#isPrimary(id, from, fenced)) {
 			refuse(false);
 			return;
 		}
@@ -57,15 +57,15 @@
 			return;
 		}
 
-		this.keep(record);
-		transfer.passOn(record);
+		this.merge(record);
+		transfer.forward(record);
 		send(from, {
 			kind: 'copied', id, nonce, version,
 		});
 	}
 
-	/** Takes what another one had, where nothing newer is known here. */
-	keep(record: RecordCopy): void {
+	/** Merges another registrar's record unless the local one is newer. */
+	merge(record: RecordCopy): void {
 		const {clock, store, replication} = this.parts;
 		if (record.version === 2) {
 			store.delete(record.id);
@@ -73,11 +73,11 @@
 		}
 
 		const known = store.get(record.id);
-		if (known !== undefined && this.#isNewer(known, record)) {
+		if (known !== undefined && this.#isLocalNewer(known, record)) {
 			return;
 		}
 
-		// A claim that waits here for its copy loses to one that was granted elsewhere.
+		// A claim granted elsewhere takes precedence over a local one that is not replicated yet.
 		if (known !== undefined && known.nonce !== record.nonce) {
 			replication.abandonClaim(known);
 		}
@@ -88,21 +88,21 @@
 		});
 	}
 
-	/** Takes the records of a registrar that leaves, or that was there before this one entered. */
-	adopt(records: readonly RecordCopy[]): void {
+	/** Merges the records of a leaving registrar, or of a member of the group that this registrar joins. */
+	mergeAll(records: readonly RecordCopy[]): void {
 		for (const record of records) {
-			this.keep(record);
+			this.merge(record);
 		}
 	}
 
-	/** Whether the sender is the one that decides on the id, in this registrar's view too. */
-	#ranksBefore(id: SubmissionId, sender: MemberId, fenced: readonly MemberId[]): boolean {
+	/** Whether the sender is the primary of the id in this registrar's view as well. */
+	#isPrimary(id: SubmissionId, sender: MemberId, fenced: readonly MemberId[]): boolean {
 		const first = this.parts.view.rank(id).find(member => !fenced.includes(member.id));
 		return first?.id === sender;
 	}
 
-	/** A copy that was under way for longer never puts a settled record back to running, nor a later claim to an earlier. */
-	#isNewer(known: SubmissionRecord, record: RecordCopy): boolean {
+	/** Whether the local record is newer: a delayed copy must not revert a settled record, nor a claim to an earlier one. */
+	#isLocalNewer(known: SubmissionRecord, record: RecordCopy): boolean {
 		if (known.verdict !== undefined) {
 			return record.verdict === undefined;
 		}
--- a/src/features/submissions/claims.ts
+++ b/src/features/submissions/claim-handler.ts
@@ -1,50 +1,50 @@
-/** Decides on the claims of submissions, and tells their desks what came of them. */
+/** Handles claims and settlements of submissions at their primary registrar. */
 import type {Clock} from '../../base/clock.js';
 import type {JobAnswer} from '../../base/job-answer.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {Verdict} from '../../base/verdict.js';
 import type {Journal} from '../../runtime/journal/journal.js';
-import type {AuthorityRule} from './authority-rule.js';
+import type {PrimarySelection} from './primary-selection.js';
 import type {RecordStore} from './record-store.js';
 import type {RegistryMessage} from './registry-message.js';
 import type {RegistryMessageOf} from './registry-message-of.js';
 import type {Replication} from './replication.js';
 import type {SubmissionRecord} from './submission-record.js';
-import type {Vouching} from './vouching.js';
+import type {RecordCoverage} from './record-coverage.js';
 
-/** Beyond the deadline of a running submission, after which its executor is given up. */
+/** Time after the deadline of a running submission until its executor is considered lost. */
 const graceMilliseconds = 5000;
 
 type Waiter = {readonly member: MemberId; readonly nonce: string};
 
-type ClaimsParts = {
+type ClaimHandlerParts = {
 	readonly clock: Clock;
 	readonly journal: Journal;
 	readonly store: RecordStore;
-	readonly authority: AuthorityRule;
-	readonly vouching: Vouching;
+	readonly primarySelection: PrimarySelection;
+	readonly coverage: RecordCoverage;
 	readonly replication: Replication;
 	readonly canDecide: () => boolean;
 	readonly send: (to: MemberId, message: RegistryMessage) => void;
 	readonly retentionMilliseconds: number;
 };
 
-/** Grants an id once, after its record has a copy; later claims of it wait for the verdict of the first. */
-export class Claims {
+/** Grants an id once, after its record is replicated. Later claims wait for the verdict of the first. */
+export class ClaimHandler {
 	readonly #waiters = new Map<SubmissionId, Waiter[]>();
 
-	constructor(private readonly parts: ClaimsParts) {}
+	constructor(private readonly parts: ClaimHandlerParts) {}
 
 	claim(from: MemberId, claim: RegistryMessageOf<'claim'>): void {
 		const {id, nonce} = claim;
 		const record = this.parts.store.get(id);
-		if (this.#isRedirected(from, id, nonce)) {
+		if (this.#redirectUnlessPrimary(from, id, nonce)) {
 			return;
 		}
 
 		if (record !== undefined) {
-			this.answerKnown(from, claim, record);
+			this.answerFromRecord(from, claim, record);
 			return;
 		}
 
@@ -58,8 +58,8 @@
 		}
 	}
 
-	/** Answers a claim of an id that has a record. */
-	answerKnown(from: MemberId, {id, nonce, fingerprint}: Pick<SubmissionRecord, 'id' | 'nonce' | 'fingerprint'>, record: SubmissionRecord): void {
+	/** Replies to a claim of an id that has a record. */
+	answerFromRecord(from: MemberId, {id, nonce, fingerprint}: Pick<SubmissionRecord, 'id' | 'nonce' | 'fingerprint'>, record: SubmissionRecord): void {
 		if (record.fingerprint !== fingerprint) {
 			const verdict = {kind: 'notRun', cause: 'conflictingReuse', detail: 'the id was used before with another profile or other tasks'} as const;
 			this.parts.send(from, {
@@ -70,7 +70,7 @@
 				kind: 'concluded', id, nonce, verdict: record.verdict,
 			});
 		} else if (record.nonce === nonce && record.executor === from) {
-			this.#claimAgain(record);
+			this.#answerRepeatedClaim(record);
 		} else {
 			this.#addWaiter(id, {member: from, nonce});
 			this.parts.send(from, {kind: 'waiting', id, nonce});
@@ -79,12 +79,12 @@
 
 	settle(from: MemberId, {id, nonce, fingerprint, verdict}: RegistryMessageOf<'settle'>): void {
 		const {store} = this.parts;
-		if (this.#isRedirected(from, id, nonce)) {
+		if (this.#redirectUnlessPrimary(from, id, nonce)) {
 			return;
 		}
 
 		const known = store.get(id);
-		// A record of another claim, or one that was given up already, isn't changed by what comes late.
+		// A late settlement must change neither the record of another claim nor a definite verdict.
 		if (known !== undefined && (known.nonce !== nonce || (known.verdict !== undefined && known.verdict.kind !== 'mayHaveRun'))) {
 			this.parts.send(from, {kind: 'settled', id, nonce});
 			return;
@@ -111,46 +111,46 @@
 		}
 	}
 
-	/** A claim that was about to be granted may have been before: its executor learns of the doubt like all who wait. */
-	doubt(record: SubmissionRecord, doubt: Verdict<JobAnswer>): void {
+	/** Concludes a claim whose id may have been granted before, for its claimant and all waiters. */
+	concludeUncertain(record: SubmissionRecord, uncertainty: Verdict<JobAnswer>): void {
 		this.#addWaiter(record.id, {member: record.executor, nonce: record.nonce});
-		this.#settleRecord(record, doubt);
+		this.#settleRecord(record, uncertainty);
 	}
 
-	/** Forgets what has expired, and gives up what still runs. */
-	expire(now: number): void {
+	/** Deletes expired records, and concludes expired runs as lost. */
+	expireRecords(now: number): void {
 		for (const record of this.parts.store.expire(now)) {
-			this.#giveUp(record, 'its executor did not settle it in time');
+			this.#abandonRun(record, 'its executor did not settle it in time');
 		}
 	}
 
-	/** An entry is gone for good: what it ran is in doubt. */
+	/** Concludes the submissions that a lost entry was running as possibly run. */
 	executorLost(id: MemberId): void {
 		for (const record of this.parts.store.all()) {
 			if (record.executor === id && record.verdict === undefined) {
-				this.#giveUp(record, 'the entry that ran it is gone');
+				this.#abandonRun(record, 'the entry that ran it is gone');
 			}
 		}
 	}
 
-	/** Sends a desk on where another registrar decides on the id, or this one doesn't take part; returns whether it did. */
-	#isRedirected(from: MemberId, id: SubmissionId, nonce: string): boolean {
-		const authority = this.parts.authority.authorityOf(id);
-		if (authority.kind === 'own' && this.parts.canDecide()) {
+	/** Redirects a client if this registrar isn't the primary of the id, or isn't active; returns whether it did. */
+	#redirectUnlessPrimary(from: MemberId, id: SubmissionId, nonce: string): boolean {
+		const primary = this.parts.primarySelection.primaryOf(id);
+		if (primary.kind === 'self' && this.parts.canDecide()) {
 			return false;
 		}
 
 		this.parts.send(from, {
-			kind: 'redirect', id, nonce, to: authority.kind === 'other' ? authority.member.id : undefined,
+			kind: 'redirect', id, nonce, to: primary.kind === 'other' ? primary.member.id : undefined,
 		});
 		return true;
 	}
 
-	/** The reply was lost, or the copy never arrived: the same claim gets the same grant, but none without a copy. */
-	#claimAgain(record: SubmissionRecord): void {
+	/** Repeats a grant whose reply was lost, or replicates it again if its copy was never confirmed. */
+	#answerRepeatedClaim(record: SubmissionRecord): void {
 		if (record.isGranted) {
 			this.parts.send(record.executor, {kind: 'granted', id: record.id, nonce: record.nonce});
-		} else if (!this.parts.replication.has(record, 0)) {
+		} else if (!this.parts.replication.isPending(record, 0)) {
 			this.#replicateGrant(record);
 		}
 	}
@@ -162,11 +162,11 @@
 		}
 	}
 
-	/** Why an id without a record isn't granted: nobody can tell that it was never granted, or there's no room. */
+	/** Reason for refusing an id without a record: an earlier record may be lost, or the store is full. */
 	#refusalOf(id: SubmissionId): Verdict<JobAnswer> | undefined {
-		const doubt = this.parts.vouching.doubtOf(id);
-		if (doubt !== undefined || this.parts.store.hasRoom) {
-			return doubt;
+		const uncertainty = this.parts.coverage.uncertaintyOf(id);
+		if (uncertainty !== undefined || this.parts.store.hasRoom) {
+			return uncertainty;
 		}
 
 		return {
@@ -188,7 +188,7 @@
 		});
 	}
 
-	#giveUp(record: SubmissionRecord, detail: string): void {
+	#abandonRun(record: SubmissionRecord, detail: string): void {
 		this.parts.journal.record('submissionGivenUp', {submission: record.id, executor: record.executor, detail});
 		this.#settleRecord(record, {kind: 'mayHaveRun', cause: 'executorLost', detail});
 	}
--- a/src/features/submissions/claim.ts
+++ b/src/features/submissions/claim.ts
@@ -1,8 +1,8 @@
-/** The answer to the question whether a submission may be run. */
+/** The result of claiming a submission. */
 import type {JobAnswer} from '../../base/job-answer.js';
 import type {Verdict} from '../../base/verdict.js';
 
-/** `granted` exactly once for an id: its holder runs the job and settles it. Everyone else gets the job's verdict. */
+/** At most one claim of an id is `granted`; its holder runs and settles the job. All others get the job's verdict. */
 export type Claim =
 	| {readonly kind: 'granted'; readonly nonce: string}
 	| {readonly kind: 'concluded'; readonly verdict: Verdict<JobAnswer>};
--- a/src/features/submissions/handover.ts
+++ b/src/features/submissions/handover.ts
@@ -1,10 +1,10 @@
-/** Records on their way to those who stay. */
+/** Transfers a leaving registrar's records to the remaining ones. */
 import type {MemberId} from '../../base/member-id.js';
 import type {RegistryMessageOf} from './registry-message-of.js';
 
 type Message = RegistryMessageOf<'handover'>;
 
-/** Sends each batch until it's taken. */
+/** Resends each batch until it is acknowledged. */
 export class Handover {
 	readonly #batches = new Map<number, {readonly to: MemberId; readonly message: Message}>();
 	#sequence = 0;
@@ -22,7 +22,7 @@
 		this.send(to, message);
 	}
 
-	taken(sequence: number): void {
+	acknowledge(sequence: number): void {
 		this.#batches.delete(sequence);
 	}
 
--- a/src/features/submissions/no-op-registry-client.ts
+++ b/src/features/submissions/no-op-registry-client.ts
@@ -1,4 +1,4 @@
-/** A desk without a registry. */
+/** Registry client without a registry. */
 import type {CancellationToken} from '../../base/cancellation-token.js';
 import {Emitter} from '../../base/emitter.js';
 import type {SubmissionId} from '../../base/submission-id.js';
@@ -7,8 +7,8 @@
 import {RegistryClient} from './registry-client.js';
 
 /**
- * Grants every claim. For the benchmark only, which measures what the registry costs: without it a job that's submitted
- * twice runs twice.
+ * Grants every claim, so that a job submitted twice runs twice. Only for benchmarks that measure the overhead of the
+ * registry.
  */
 export class NoOpRegistryClient extends RegistryClient {
 	override readonly onDidRequestCancel = new Emitter<SubmissionId>().event;
--- a/src/features/submissions/settlements.ts
+++ b/src/features/submissions/pending-settlements.ts
@@ -1,4 +1,4 @@
-/** The verdicts of an entry's submissions on their way to a registrar of the home zone. */
+/** Settlements of an entry's submissions that no registrar has acknowledged yet. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
 import type {JobAnswer} from '../../base/job-answer.js';
@@ -10,70 +10,70 @@
 import type {RegistryMessage} from './registry-message.js';
 import type {Submission} from './submission.js';
 
-const askAgainMilliseconds = 500;
-/** After an answer that decides nothing. */
-const pauseMilliseconds = 100;
-const patienceMilliseconds = 30_000;
+const retryIntervalMilliseconds = 500;
+/** Delay before a retry after a redirect. */
+const redirectDelayMilliseconds = 100;
+const retryPeriodMilliseconds = 30_000;
 
 type Settlement = {
 	readonly submission: Pick<Submission, 'id' | 'fingerprint'>;
 	readonly nonce: string;
 	readonly verdict: Verdict<JobAnswer>;
-	readonly until: number;
-	askAgainAt: number;
-	tries: number;
+	readonly givesUpAt: number;
+	retryAt: number;
+	attempts: number;
 	redirect: MemberId | undefined;
 };
 
-type SettlementsParts = {
+type PendingSettlementsParts = {
 	readonly zones: readonly AvailabilityZone[];
 	readonly clock: Clock;
 	readonly membersOf: (zone: AvailabilityZone) => readonly Member[];
 	readonly send: (to: MemberId, message: RegistryMessage) => void;
 };
 
-/** Sends each to one registrar after the other until it's taken. */
-export class Settlements {
-	readonly #open = new Map<string, Settlement>();
+/** Sends each settlement to the registrars in turn until one acknowledges it or the retry period ends. */
+export class PendingSettlements {
+	readonly #pending = new Map<string, Settlement>();
 
-	constructor(private readonly parts: SettlementsParts) {}
+	constructor(private readonly parts: PendingSettlementsParts) {}
 
 	get size(): number {
-		return this.#open.size;
+		return this.#pending.size;
 	}
 
 	has(nonce: string): boolean {
-		return this.#open.has(nonce);
+		return this.#pending.has(nonce);
 	}
 
 	add(submission: Settlement['submission'], nonce: string, verdict: Verdict<JobAnswer>): void {
 		const now = this.parts.clock.now();
 		const settlement: Settlement = {
-			submission, nonce, verdict, until: now + patienceMilliseconds, askAgainAt: now, tries: 0, redirect: undefined,
+			submission, nonce, verdict, givesUpAt: now + retryPeriodMilliseconds, retryAt: now, attempts: 0, redirect: undefined,
 		};
-		this.#open.set(nonce, settlement);
+		this.#pending.set(nonce, settlement);
 		this.#send(settlement);
 	}
 
-	taken(nonce: string): void {
-		this.#open.delete(nonce);
+	acknowledge(nonce: string): void {
+		this.#pending.delete(nonce);
 	}
 
-	/** The registrar that was asked can't decide; another one may be able to. */
+	/** Redirects to another registrar, because the one that was asked isn't the primary. */
 	redirected(nonce: string, to: MemberId | undefined): void {
-		const settlement = this.#open.get(nonce);
+		const settlement = this.#pending.get(nonce);
 		if (settlement !== undefined) {
 			settlement.redirect = to;
-			settlement.askAgainAt = this.parts.clock.now() + pauseMilliseconds;
+			settlement.retryAt = this.parts.clock.now() + redirectDelayMilliseconds;
 		}
 	}
 
 	tick(): void {
 		const now = this.parts.clock.now();
-		for (const settlement of this.#open.values()) {
-			if (now > settlement.until) {
-				this.#open.delete(settlement.nonce);
-			} else if (now >= settlement.askAgainAt) {
+		for (const settlement of this.#pending.values()) {
+			if (now > settlement.givesUpAt) {
+				this.#pending.delete(settlement.nonce);
+			} else if (now >= settlement.retryAt) {
 				this.#send(settlement);
 			}
 		}
@@ -83,10 +83,10 @@
 		const {zones, clock, membersOf, send} = this.parts;
 		const {submission: {id, fingerprint}, nonce, verdict} = settlement;
 		const ranked = rankByKey(id, membersOf(homeZoneOf(id, zones)), member => member.instance);
-		const to = settlement.redirect ?? ranked[settlement.tries % Math.max(1, ranked.length)]?.id;
-		settlement.tries += 1;
+		const to = settlement.redirect ?? ranked[settlement.attempts % Math.max(1, ranked.length)]?.id;
+		settlement.attempts += 1;
 		settlement.redirect = undefined;
-		settlement.askAgainAt = clock.now() + askAgainMilliseconds;
+		settlement.retryAt = clock.now() + retryIntervalMilliseconds;
 		if (to !== undefined) {
 			send(to, {
 				kind: 'settle', id, fingerprint, nonce, verdict,
--- a/src/features/submissions/record-copy.ts
+++ b/src/features/submissions/record-copy.ts
@@ -1,5 +1,5 @@
-/** A record on its way between registrars. */
+/** A record as sent between registrars. */
 import type {RegistryMessageOf} from './registry-message-of.js';
 
-/** Carries the time that remains instead of a time of the sender's own clock; see the schema for its versions. */
+/** Contains the remaining time instead of a local timestamp, because monotonic clocks differ between registrars. */
 export type RecordCopy = RegistryMessageOf<'copy'>['record'];
--- a/src/features/submissions/record-store.ts
+++ b/src/features/submissions/record-store.ts
@@ -1,19 +1,19 @@
-/** The records of a registrar, bounded in time and in bytes. */
+/** Stores the records of a registrar, bounded in time and memory. */
 import type {JobAnswer} from '../../base/job-answer.js';
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {Verdict} from '../../base/verdict.js';
 import type {SubmissionRecord} from './submission-record.js';
 
-/** What a record takes besides its answer, roughly. */
+/** Approximate memory of a record without its answer. */
 const bytesPerRecord = 600;
-/** Two bytes a character, as strings are kept. */
+/** Strings may be stored as UTF-16. */
 const bytesPerCharacter = 2;
 
-const forgotten: Verdict<JobAnswer> = {kind: 'mayHaveRun', cause: 'answerForgotten', detail: 'the submission was run; its answer is no longer kept'};
+const droppedAnswerVerdict: Verdict<JobAnswer> = {kind: 'mayHaveRun', cause: 'answerForgotten', detail: 'the submission was run; its answer is no longer kept'};
 
 /**
- * Remembers each submission until its time has passed. Short of memory, it drops the oldest answers first, but not the
- * records: what was run stays known to have been. When records alone fill the memory, there's no room for a new one.
+ * Keeps each record until it expires. At the memory limit it drops the oldest answers but keeps their records, so that
+ * the submissions remain known. If the records alone reach the limit, no new ones are accepted.
  */
 export class RecordStore {
 	readonly #records = new Map<SubmissionId, SubmissionRecord>();
@@ -58,22 +58,22 @@
 		}
 	}
 
-	/** Forgets what has expired; the running ones that have are returned, since somebody may wait for them. */
+	/** Deletes expired settled records, and returns expired running ones, for which claims may be waiting. */
 	expire(now: number): readonly SubmissionRecord[] {
-		const givenUp: SubmissionRecord[] = [];
+		const expiredRuns: SubmissionRecord[] = [];
 		for (const record of this.#records.values()) {
 			if (record.expiresAt > now) {
 				continue;
 			}
 
 			if (record.verdict === undefined) {
-				givenUp.push(record);
+				expiredRuns.push(record);
 			} else {
 				this.delete(record.id);
 			}
 		}
 
-		return givenUp;
+		return expiredRuns;
 	}
 
 	#dropAnswers(): void {
@@ -84,8 +84,8 @@
 
 			if (record.verdict?.kind === 'answered') {
 				this.#bytes -= record.bytes;
-				record.verdict = forgotten;
-				record.bytes = sizeOf(forgotten);
+				record.verdict = droppedAnswerVerdict;
+				record.bytes = sizeOf(droppedAnswerVerdict);
 				this.#bytes += record.bytes;
 			}
 		}
--- a/src/features/submissions/registrar.ts
+++ b/src/features/submissions/registrar.ts
@@ -1,28 +1,28 @@
-/** Keeps the records of the submissions whose home is its zone. */
+/** Keeps the records of submissions in their home zone. */
 import {match} from 'ts-pattern';
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {Member} from '../../runtime/peers/member.js';
-import {AuthorityRule} from './authority-rule.js';
-import {CircleEntry} from './circle-entry.js';
-import {CircleView} from './circle-view.js';
-import {Claims} from './claims.js';
-import {Copies} from './copies.js';
-import {CopyRestoration} from './copy-restoration.js';
+import {PrimarySelection} from './primary-selection.js';
+import {GroupJoin} from './group-join.js';
+import {GroupView} from './group-view.js';
+import {ClaimHandler} from './claim-handler.js';
+import {BackupReceiver} from './backup-receiver.js';
+import {ReplicaRepair} from './replica-repair.js';
 import {RecordStore} from './record-store.js';
-import type {RegistrarSurroundings} from './registrar-surroundings.js';
+import type {RegistrarEnvironment} from './registrar-environment.js';
 import type {RegistryMessage} from './registry-message.js';
 import type {RegistryMessageOf} from './registry-message-of.js';
 import {Replication} from './replication.js';
 import {StateTransfer} from './state-transfer.js';
-import {Vouching} from './vouching.js';
+import {RecordCoverage} from './record-coverage.js';
 
-/** The owner calls `tick` this often. */
+/** Interval at which the owner calls `tick`. */
 const tickMilliseconds = 200;
 /**
- * A registrar that didn't tick for so long was paused. Others fence a silent one after more than this, so that it finds
- * out before it acts on what it knew.
+ * Gap between ticks that indicates a pause. Peers fence a silent registrar only after a longer time, so that a paused
+ * registrar notices the pause before it acts on outdated state.
  */
 const pauseLimitMilliseconds = 1500;
 
@@ -30,63 +30,63 @@
 	readonly self: Member;
 	readonly clock: Clock;
 	readonly journal: Journal;
-	readonly surroundings: RegistrarSurroundings;
+	readonly environment: RegistrarEnvironment;
 	readonly send: (to: MemberId, message: RegistryMessage) => void;
 	readonly retentionMilliseconds: number;
 	readonly limitBytes: number;
 };
 
 /**
- * The owner of an id writes its record to the copy's holder before it grants the claim, and grants an id once. It acts
- * only on messages and ticks. The holder of the copy may take a silent owner's place, and from then on refuses that
- * owner's copies, so that the owner can't grant any more; an owner goes on without its copy's holder only on proof that
- * the holder is gone. So at most one of them can grant at any time, without agreement among more than two.
+ * Primary-backup replication per id. The primary replicates a record to the backup before it grants the claim. A backup
+ * may take over from a silent primary, and then rejects that primary's copies, so that it can't grant any more. A primary
+ * continues without its backup only once the backup is known to be lost. Thus at most one of them grants at any time,
+ * without a quorum.
  */
 export class Registrar {
 	static readonly tickMilliseconds = tickMilliseconds;
 
-	readonly #view: CircleView;
-	readonly #entry: CircleEntry;
+	readonly #view: GroupView;
+	readonly #groupJoin: GroupJoin;
 	readonly #store: RecordStore;
-	readonly #claims: Claims;
+	readonly #claims: ClaimHandler;
 	readonly #replication: Replication;
-	readonly #copies: Copies;
+	readonly #backupReceiver: BackupReceiver;
 	readonly #transfer: StateTransfer;
-	readonly #restoration: CopyRestoration;
+	readonly #replicaRepair: ReplicaRepair;
 	#tickedAt: number;
 
 	constructor(private readonly parts: RegistrarParts) {
-		const view = new CircleView(parts.self);
+		const view = new GroupView(parts.self);
 		const store = new RecordStore(parts.limitBytes);
-		const entry = new CircleEntry({
-			...parts, view, onState: records => {
-				this.#copies.adopt(records);
+		const groupJoin = new GroupJoin({
+			...parts, view, onStateReceived: records => {
+				this.#backupReceiver.mergeAll(records);
 			},
 		});
-		const canDecide = () => entry.isActive && !this.#transfer.isLeaving;
-		const authority = new AuthorityRule(view, {...parts, canDecide});
-		const vouching = new Vouching(view, entry, parts.clock, parts.retentionMilliseconds);
+		const canDecide = () => groupJoin.isActive && !this.#transfer.isLeaving;
+		const primarySelection = new PrimarySelection(view, {...parts, canDecide});
+		const coverage = new RecordCoverage(view, groupJoin, parts.clock, parts.retentionMilliseconds);
 		const shared = {
-			...parts, view, store, entry, authority, vouching, canDecide,
+			...parts, view, store, groupJoin, primarySelection, coverage, canDecide,
 		};
 		const replication = new Replication({
-			...shared, onDoubt: (record, doubt) => {
-				this.#claims.doubt(record, doubt);
+			...shared, onUncertain: (record, uncertainty) => {
+				this.#claims.concludeUncertain(record, uncertainty);
 			},
 		});
 		this.#view = view;
 		this.#store = store;
-		this.#entry = entry;
+		this.#groupJoin = groupJoin;
 		this.#replication = replication;
-		this.#claims = new Claims({...shared, replication});
+		this.#claims = new ClaimHandler({...shared, replication});
 		this.#transfer = new StateTransfer(shared);
-		this.#copies = new Copies({...shared, replication, transfer: this.#transfer});
-		this.#restoration = new CopyRestoration({...shared, replication});
+		this.#backupReceiver = new BackupReceiver({...shared, replication, transfer: this.#transfer});
+		this.#replicaRepair = new ReplicaRepair({...shared, replication});
 		this.#tickedAt = parts.clock.now();
 	}
 
 	get isActive(): boolean {
-		return this.#entry.isActive;
+		return this.#groupJoin.isActive;
 	}
 
 	get records(): number {
@@ -102,17 +102,17 @@
 	}
 
 	/**
-	 * Enters the circle. Should nobody be there to inherit from, nobody can tell what was granted before the given time,
-	 * in milliseconds since the epoch.
+	 * Joins the group. If no active member provides records, ids created before `coverageStart` (milliseconds since the
+	 * epoch) may have been granted before.
 	 */
-	enter(vouchFrom: number): void {
-		this.#entry.vouchFrom = vouchFrom;
-		this.#entry.begin();
+	join(coverageStart: number): void {
+		this.#groupJoin.coverageStart = coverageStart;
+		this.#groupJoin.start();
 	}
 
-	/** Whether nobody was there to inherit from. */
-	get isFounder(): boolean {
-		return this.#entry.isFounder;
+	/** Whether no active member was there to provide records. */
+	get isFirstMember(): boolean {
+		return this.#groupJoin.isFirstMember;
 	}
 
 	receive(from: MemberId, message: RegistryMessage): void {
@@ -128,54 +128,54 @@
 				this.#claims.cancel(id);
 			})
 			.with({kind: 'copy'}, copy => {
-				this.#copies.take(from, copy);
+				this.#backupReceiver.receive(from, copy);
 			})
 			.with({kind: 'copied'}, copied => {
 				this.#replication.copied(from, copied);
 			})
 			.with({kind: 'notCopied'}, refusal => {
-				this.#notCopied(from, refusal);
+				this.#handleRejectedCopy(from, refusal);
 			})
 			.with({kind: 'join'}, {kind: 'welcome'}, {kind: 'state'}, step => {
-				this.#entry.receive(from, step);
-				this.#replication.reconsider();
+				this.#groupJoin.receive(from, step);
+				this.#replication.retarget();
 			})
 			.with({kind: 'enter'}, ({era}) => {
-				this.#admit(from, era);
+				this.#addJoining(from, era);
 			})
 			.with({kind: 'handover'}, ({sequence, records}) => {
-				this.#copies.adopt(records);
+				this.#backupReceiver.mergeAll(records);
 				this.parts.send(from, {kind: 'handoverTaken', sequence});
 			})
 			.with({kind: 'handoverTaken'}, ({sequence}) => {
-				this.#transfer.taken(sequence);
+				this.#transfer.acknowledge(sequence);
 			})
 			.with({kind: 'leftCircle'}, () => {
-				this.#restoration.memberLost(from, true);
+				this.#replicaRepair.memberLost(from, true);
 			})
 			.with({kind: 'restored'}, ({lost}) => {
 				this.#view.restore(lost, from);
 			})
-			// The rest is for desks.
+			// All other messages are for clients.
 			.otherwise(() => undefined);
 	}
 
 	tick(): void {
 		this.#checkPause();
 		const now = this.parts.clock.now();
-		this.#entry.tick();
-		this.#claims.expire(now);
+		this.#groupJoin.tick();
+		this.#claims.expireRecords(now);
 		this.#replication.resend();
 		this.#transfer.resend();
 	}
 
-	/** An entry of any zone is gone for good: what it ran is in doubt. */
+	/** Handles the permanent loss of an entry of any zone. */
 	memberLost(id: MemberId, wasHandedOver: boolean): void {
-		this.#restoration.memberLost(id, wasHandedOver);
+		this.#replicaRepair.memberLost(id, wasHandedOver);
 		this.#claims.executorLost(id);
 	}
 
-	/** Hands all records to the others. Nothing is granted any more. */
+	/** Starts the handover of all records to the other members, and stops granting claims. */
 	leave(): void {
 		this.#transfer.leave();
 	}
@@ -184,37 +184,37 @@
 		return this.#transfer.hasHandedOver;
 	}
 
-	/** Tells the others that they go on without this one. */
-	farewell(): void {
+	/** Notifies the other members that this registrar has left. */
+	announceLeave(): void {
 		for (const member of this.#view.members) {
 			this.parts.send(member.id, {kind: 'leftCircle'});
 		}
 	}
 
 	/**
-	 * An entry that was paused may have been fenced, or taken for dead: it enters the circle again, and learns what was
-	 * granted meanwhile, before it grants or copies anything.
+	 * After a pause this registrar may have been fenced or removed. It rejoins the group and receives the current records
+	 * before it grants or replicates anything.
 	 */
 	#checkPause(): void {
 		const now = this.parts.clock.now();
 		const gap = now - this.#tickedAt;
 		this.#tickedAt = now;
-		if (gap > pauseLimitMilliseconds && this.#entry.hasBegun) {
+		if (gap > pauseLimitMilliseconds && this.#groupJoin.hasStarted) {
 			this.parts.journal.record('registrarPaused', {milliseconds: Math.round(gap)});
-			this.#entry.begin();
+			this.#groupJoin.start();
 		}
 	}
 
-	#notCopied(from: MemberId, {id, nonce, era, isFenced, existing}: RegistryMessageOf<'notCopied'>): void {
-		if (isFenced && era !== this.#entry.era) {
-			// It's about copies of an earlier era, which this registrar has left behind already.
+	#handleRejectedCopy(from: MemberId, {id, nonce, era, isFenced, existing}: RegistryMessageOf<'notCopied'>): void {
+		if (isFenced && era !== this.#groupJoin.era) {
+			// Refers to an earlier era; this registrar has rejoined since.
 			return;
 		}
 
 		if (isFenced) {
-			// The holder of the copy acts in this one's place, or took it for gone.
+			// The backup has taken over, or has removed this registrar from its view.
 			this.parts.journal.record('registrarFenced', {by: from});
-			this.#entry.begin();
+			this.#groupJoin.start();
 			return;
 		}
 
@@ -223,21 +223,21 @@
 			return;
 		}
 
-		// The other one knows a copy of this submission that this one doesn't: that one stands.
+		// The backup has a record of another claim, which takes precedence.
 		this.#store.delete(id);
-		this.#copies.keep(existing);
-		this.#claims.answerKnown(claim.executor, claim, this.#store.get(id)!);
+		this.#backupReceiver.merge(existing);
+		this.#claims.answerFromRecord(claim.executor, claim, this.#store.get(id)!);
 	}
 
-	/** Someone enters: it gets all records, and a place in the ranks from now on. */
-	#admit(from: MemberId, era: number): void {
-		const member = this.parts.surroundings.memberOf(from);
+	/** Adds a joining registrar to the view and sends it all records. */
+	#addJoining(from: MemberId, era: number): void {
+		const member = this.parts.environment.memberOf(from);
 		if (member === undefined) {
 			return;
 		}
 
 		this.#view.add(member, era);
 		this.#transfer.sendAll(from, era);
-		this.#replication.reconsider();
+		this.#replication.retarget();
 	}
 }
--- a/src/features/submissions/registry-client-key.ts
+++ b/src/features/submissions/registry-client-key.ts
@@ -1,6 +1,6 @@
-/** The container's name for the registry of submissions. */
+/** Service key of the registry client. */
 import {ServiceKey} from '../../runtime/kernel/service-key.js';
 import type {RegistryClient} from './registry-client.js';
 
-/** Provided by the submissions feature. */
+/** Key of the service provided by the submissions feature. */
 export const registryClientKey = new ServiceKey<RegistryClient>('registry-client');
--- a/src/features/submissions/registry-client.ts
+++ b/src/features/submissions/registry-client.ts
@@ -1,4 +1,4 @@
-/** Where entries find out whether a submission may be run. */
+/** Client of the submission registry. */
 import type {CancellationToken} from '../../base/cancellation-token.js';
 import type {Event} from '../../base/event.js';
 import type {JobAnswer} from '../../base/job-answer.js';
@@ -7,17 +7,17 @@
 import type {Claim} from './claim.js';
 import type {Submission} from './submission.js';
 
-/** The registry of submissions as one entry uses it, whichever entries keep the records. */
+/** Claims, settles and cancels submissions on behalf of an entry. */
 export abstract class RegistryClient {
-	/** Fires when somebody asks for the end of a submission that runs at this entry. */
+	/** Fires when the cancellation of a submission that runs at this entry is requested. */
 	abstract readonly onDidRequestCancel: Event<SubmissionId>;
 
-	/** Ends by the submission's deadline at the latest; waits for another entry's run of the same submission. */
+	/** Resolves by the submission's deadline at the latest. Waits for the verdict if the submission is already running. */
 	abstract claim(submission: Submission, token: CancellationToken): Promise<Claim>;
 
-	/** Records the verdict of a granted claim; `notRun` frees the id for a new try. */
+	/** Records the verdict of a granted claim; `notRun` releases the id for another attempt. */
 	abstract settle(id: SubmissionId, nonce: string, verdict: Verdict<JobAnswer>): void;
 
-	/** Asks for the end of a running submission, wherever it runs. */
+	/** Requests the cancellation of a running submission at whichever entry runs it. */
 	abstract cancel(id: SubmissionId): void;
 }
--- a/src/features/submissions/registry-message-of.ts
+++ b/src/features/submissions/registry-message-of.ts
@@ -1,5 +1,5 @@
-/** One kind of the registry's messages. */
+/** Selects a registry message type by its kind. */
 import type {RegistryMessage} from './registry-message.js';
 
-/** The message of a kind; see the schema for what it means. */
+/** The registry message of the given kind. */
 export type RegistryMessageOf<Kind extends RegistryMessage['kind']> = Extract<RegistryMessage, {kind: Kind}>;
--- a/src/features/submissions/registry-message-schema.ts
+++ b/src/features/submissions/registry-message-schema.ts
@@ -1,4 +1,4 @@
-/** What the registry's parts tell each other. */
+/** Schema of the messages between clients and registrars. */
 import * as z from 'zod';
 import type {MemberId} from '../../base/member-id.js';
 import type {SubmissionId} from '../../base/submission-id.js';
@@ -14,12 +14,12 @@
 	executor: memberId,
 	nonce,
 	version: z.int().min(0).max(2),
-	/** Until a running one is given up, or a settled one forgotten. */
+	/** Time until a running record is considered lost, or a settled one is deleted. */
 	remainingMilliseconds: z.number(),
 	verdict: verdictSchema.optional(),
 });
 
-/** From a desk to the registrar of the submission's home zone. */
+/** From a client to a registrar of the submission's home zone. */
 const requests = [
 	z.object({
 		kind: z.literal('claim'), id, fingerprint: z.string().max(64), nonce, remainingMilliseconds: z.number(),
@@ -30,14 +30,14 @@
 	z.object({kind: z.literal('cancel'), id}),
 ] as const;
 
-/** From a registrar to a desk; `waiting` means that another copy runs and its verdict will be told. */
+/** From a registrar to a client; `waiting` means that another claim is running and its verdict will follow. */
 const replies = [
 	z.object({kind: z.literal('granted'), id, nonce}),
 	z.object({kind: z.literal('waiting'), id, nonce}),
 	z.object({
 		kind: z.literal('concluded'), id, nonce, verdict: verdictSchema,
 	}),
-	/** The sender can't decide; `to` may. */
+	/** The sender isn't the primary of the id; `to` may be. */
 	z.object({
 		kind: z.literal('redirect'), id, nonce, to: memberId.optional(),
 	}),
@@ -45,15 +45,15 @@
 	z.object({kind: z.literal('cancelRequested'), id}),
 ] as const;
 
-/** Between the registrars of a zone; `era` counts a registrar's entries into the circle. */
-const circle = [
+/** Between the registrars of a zone; `era` counts how often a registrar has joined the group. */
+const groupMessages = [
 	z.object({
 		kind: z.literal('copy'), era: z.int(), record, fenced: z.array(memberId),
 	}),
 	z.object({
 		kind: z.literal('copied'), id, nonce, version: z.int(),
 	}),
-	/** Not accepted in that era: the sender was fenced or isn't known any more, or the views differ; `existing` stands instead. */
+	/** The copy was rejected: the receiver was fenced or removed, the views differ, or `existing` takes precedence. */
 	z.object({
 		kind: z.literal('notCopied'), id, nonce, era: z.int(), isFenced: z.boolean(), existing: record.optional(),
 	}),
@@ -66,16 +66,16 @@
 		records: z.array(record),
 		isLast: z.boolean(),
 		isActive: z.boolean(),
-		/** Ids made before this time (milliseconds since the epoch) are vouched for only where there's a record. */
+		/** For ids created before this time (milliseconds since the epoch), records may be missing. */
 		vouchFrom: z.number(),
 		ownEra: z.int(),
 	}),
 	z.object({kind: z.literal('handover'), sequence: z.int(), records: z.array(record)}),
 	z.object({kind: z.literal('handoverTaken'), sequence: z.int()}),
 	z.object({kind: z.literal('leftCircle')}),
-	/** All records that the lost member's absence left single have a second place again. */
+	/** The sender has replicated all its records again after the loss of the member. */
 	z.object({kind: z.literal('restored'), lost: memberId}),
 ] as const;
 
-/** Every message of the registry. */
-export const registryMessageSchema = z.discriminatedUnion('kind', [...requests, ...replies, ...circle]);
+/** All messages of the registry. */
+export const registryMessageSchema = z.discriminatedUnion('kind', [...requests, ...replies, ...groupMessages]);
--- a/src/features/submissions/registry-message.ts
+++ b/src/features/submissions/registry-message.ts
@@ -1,6 +1,6 @@
-/** A checked message of the registry. */
+/** A validated message of the registry. */
 import type {z} from 'zod';
 import type {registryMessageSchema} from './registry-message-schema.js';
 
-/** See the schema for what each kind means. */
+/** The schema documents each kind. */
 export type RegistryMessage = z.output<typeof registryMessageSchema>;
--- a/src/features/submissions/registry-submission-desk.ts
+++ b/src/features/submissions/remote-registry-client.ts
@@ -1,4 +1,4 @@
-/** Asks the registrars of a submission's home zone. */
+/** Registry client that sends requests to the registrars of a submission's home zone. */
 import {match} from 'ts-pattern';
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {CancellationToken} from '../../base/cancellation-token.js';
@@ -12,18 +12,18 @@
 import type {Member} from '../../runtime/peers/member.js';
 import type {Claim} from './claim.js';
 import {homeZoneOf} from './home-zone-of.js';
-import {OpenClaims} from './open-claims.js';
+import {PendingClaims} from './pending-claims.js';
 import type {RegistryMessage} from './registry-message.js';
-import {Settlements} from './settlements.js';
+import {PendingSettlements} from './pending-settlements.js';
 import {RegistryClient} from './registry-client.js';
 import type {Submission} from './submission.js';
 
-/** The owner calls `tick` this often. */
+/** Interval at which the owner calls `tick`. */
 const tickMilliseconds = 100;
 
 type Reply = Extract<RegistryMessage, {kind: 'granted' | 'waiting' | 'concluded' | 'redirect' | 'settled' | 'cancelRequested'}>;
 
-type RegistrySubmissionDeskParts = {
+type RemoteRegistryClientParts = {
 	readonly self: MemberId;
 	readonly zones: readonly AvailabilityZone[];
 	readonly clock: Clock;
@@ -33,28 +33,28 @@
 	readonly send: (to: MemberId, message: RegistryMessage) => void;
 };
 
-/** Keeps every claim until it's decided or its time is over, and every settlement until it's taken. */
-export class RegistrySubmissionDesk extends RegistryClient {
+/** Retries claims until they are decided or time out, and settlements until they are acknowledged or time out. */
+export class RemoteRegistryClient extends RegistryClient {
 	static readonly tickMilliseconds = tickMilliseconds;
 
-	readonly #claims: OpenClaims;
+	readonly #claims: PendingClaims;
 	readonly #granted = new Map<string, Pick<Submission, 'id' | 'fingerprint'>>();
-	readonly #settlements: Settlements;
-	readonly #requestCancel = new Emitter<SubmissionId>();
+	readonly #settlements: PendingSettlements;
+	readonly #cancelEmitter = new Emitter<SubmissionId>();
 
-	constructor(private readonly parts: RegistrySubmissionDeskParts) {
+	constructor(private readonly parts: RemoteRegistryClientParts) {
 		super();
-		this.#claims = new OpenClaims(parts);
-		this.#settlements = new Settlements(parts);
+		this.#claims = new PendingClaims(parts);
+		this.#settlements = new PendingSettlements(parts);
 	}
 
-	/** Fires when somebody asks for the end of a submission that runs here. */
+	/** Fires when the cancellation of a submission that runs at this entry is requested. */
 	override get onDidRequestCancel() {
-		return this.#requestCancel.event;
+		return this.#cancelEmitter.event;
 	}
 
-	/** True when every verdict was taken by a registrar. */
-	get isSettled(): boolean {
+	/** True if no settlement is pending. */
+	get hasSettledAll(): boolean {
 		return this.#settlements.size === 0;
 	}
 
@@ -78,23 +78,23 @@
 	receive(from: MemberId, reply: Reply): void {
 		match(reply)
 			.with({kind: 'cancelRequested'}, ({id}) => {
-				this.#requestCancel.fire(id);
+				this.#cancelEmitter.fire(id);
 			})
 			.with({kind: 'settled'}, ({nonce}) => {
-				this.#settlements.taken(nonce);
+				this.#settlements.acknowledge(nonce);
 			})
 			.with({kind: 'granted'}, ({id, nonce}) => {
-				this.#takeGrant(id, nonce);
+				this.#receiveGrant(id, nonce);
 			})
 			.with({kind: 'concluded'}, ({nonce, verdict}) => {
-				this.#claims.end(nonce, {kind: 'concluded', verdict});
+				this.#claims.conclude(nonce, {kind: 'concluded', verdict});
 			})
 			.with({kind: 'waiting'}, ({nonce}) => {
-				this.#claims.wait(nonce);
+				this.#claims.markWaiting(nonce);
 			})
 			.with({kind: 'redirect'}, ({nonce, to}) => {
 				const other = to === from ? undefined : to;
-				this.#claims.redirected(from, nonce, other);
+				this.#claims.redirect(from, nonce, other);
 				this.#settlements.redirected(nonce, other);
 			})
 			.exhaustive();
@@ -105,12 +105,12 @@
 		this.#settlements.tick();
 	}
 
-	/** A grant that comes after the claim was given up is given back: nothing of it was run. */
-	#takeGrant(id: SubmissionId, nonce: string): void {
+	/** Accepts a grant, or releases it if its claim has already timed out. */
+	#receiveGrant(id: SubmissionId, nonce: string): void {
 		const submission = this.#claims.submissionOf(nonce);
 		if (submission !== undefined) {
 			this.#granted.set(nonce, {id, fingerprint: submission.fingerprint});
-			this.#claims.end(nonce, {kind: 'granted', nonce});
+			this.#claims.conclude(nonce, {kind: 'granted', nonce});
 		} else if (!this.#granted.has(nonce) && !this.#settlements.has(nonce)) {
 			this.settle(id, nonce, {kind: 'notRun', cause: 'registryUnavailable', detail: 'the grant came too late'});
 		}
--- a/src/features/submissions/replication.ts
+++ b/src/features/submissions/replication.ts
@@ -1,49 +1,49 @@
-/** Writes the records that a registrar decides on to the holders of their copies. */
+/** Replicates a primary's records to their backups. */
 import type {Clock} from '../../base/clock.js';
 import type {JobAnswer} from '../../base/job-answer.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {Verdict} from '../../base/verdict.js';
-import type {AuthorityRule} from './authority-rule.js';
-import type {CircleEntry} from './circle-entry.js';
-import type {CircleView} from './circle-view.js';
+import type {PrimarySelection} from './primary-selection.js';
+import type {GroupJoin} from './group-join.js';
+import type {GroupView} from './group-view.js';
 import {recordCopyOf} from './record-copy-of.js';
 import type {RegistryMessage} from './registry-message.js';
 import type {RegistryMessageOf} from './registry-message-of.js';
 import type {SubmissionRecord} from './submission-record.js';
-import type {Vouching} from './vouching.js';
+import type {RecordCoverage} from './record-coverage.js';
 
 const resendMilliseconds = 200;
 
-/** A copy under way, and whom to tell when it has arrived. */
-type Pending = {readonly record: SubmissionRecord; readonly version: number; sentTo: MemberId | undefined; sentAt: number; readonly done: () => void};
+/** A copy that is not acknowledged yet. */
+type PendingCopy = {readonly record: SubmissionRecord; readonly version: number; sentTo: MemberId | undefined; sentAt: number; readonly onDone: () => void};
 
 type ReplicationParts = {
 	readonly clock: Clock;
-	readonly view: CircleView;
-	readonly entry: CircleEntry;
-	readonly authority: AuthorityRule;
-	readonly vouching: Vouching;
+	readonly view: GroupView;
+	readonly groupJoin: GroupJoin;
+	readonly primarySelection: PrimarySelection;
+	readonly coverage: RecordCoverage;
 	readonly canDecide: () => boolean;
 	readonly send: (to: MemberId, message: RegistryMessage) => void;
-	/** Called with a claim that may have been granted before, where that shows only when its copy is sent. */
-	readonly onDoubt: (record: SubmissionRecord, doubt: Verdict<JobAnswer>) => void;
+	/** Called if, when its copy is sent, a claim turns out to have possibly been granted before. */
+	readonly onUncertain: (record: SubmissionRecord, uncertainty: Verdict<JobAnswer>) => void;
 };
 
-/** Sends each copy until its holder has it, whoever that is meanwhile, or until another registrar decides on the id. */
+/** Resends each copy until the current backup acknowledges it, or until another registrar becomes the primary. */
 export class Replication {
-	readonly #pending = new Map<string, Pending>();
+	readonly #pending = new Map<string, PendingCopy>();
 
 	constructor(private readonly parts: ReplicationParts) {}
 
-	has(record: SubmissionRecord, version: number): boolean {
+	isPending(record: SubmissionRecord, version: number): boolean {
 		return this.#pending.has(keyOf(record, version));
 	}
 
-	/** Writes a record to the copy's holder, and calls back once it has it; at once where there's none. */
+	/** Sends a record to the backup and calls `onDone` once it is acknowledged; immediately if there is no backup. */
 	replicate(record: SubmissionRecord, version: number, done: () => void): void {
-		const pending: Pending = {
-			record, version, sentTo: undefined, sentAt: Number.NEGATIVE_INFINITY, done,
+		const pending: PendingCopy = {
+			record, version, sentTo: undefined, sentAt: Number.NEGATIVE_INFINITY, onDone: done,
 		};
 		this.#pending.set(keyOf(record, version), pending);
 		this.#send(pending);
@@ -56,7 +56,7 @@
 		}
 	}
 
-	/** Stops the copy of a claim that isn't granted yet; returns its record, if there is one. */
+	/** Cancels the replication of a claim that isn't granted yet, and returns its record, if there is one. */
 	withdraw(claim: Pick<SubmissionRecord, 'id' | 'nonce'>): SubmissionRecord | undefined {
 		const key = keyOf(claim, 0);
 		const pending = this.#pending.get(key);
@@ -64,7 +64,7 @@
 		return pending?.record;
 	}
 
-	/** A claim that waits for its copy isn't granted here: another one was, elsewhere. */
+	/** Abandons a claim that is not replicated yet, because another claim was granted elsewhere. */
 	abandonClaim(claim: SubmissionRecord): void {
 		const pending = this.#pending.get(keyOf(claim, 0));
 		if (pending !== undefined) {
@@ -81,55 +81,55 @@
 		}
 	}
 
-	/** The circle has changed: copies under way may have another holder now, or need none. */
-	reconsider(): void {
+	/** Sends pending copies to their new backup, or completes them without one, after a change of the group. */
+	retarget(): void {
 		for (const pending of this.#pending.values()) {
-			const authority = this.parts.authority.authorityOf(pending.record.id);
-			if (authority.kind === 'other' || authority.backup?.id !== pending.sentTo) {
+			const primary = this.parts.primarySelection.primaryOf(pending.record.id);
+			if (primary.kind === 'other' || primary.backup?.id !== pending.sentTo) {
 				this.#send(pending);
 			}
 		}
 	}
 
-	#send(pending: Pending): void {
+	#send(pending: PendingCopy): void {
 		const {record, version} = pending;
-		const {clock, view, entry, authority: rule, send} = this.parts;
-		const authority = rule.authorityOf(record.id);
-		if (authority.kind === 'other' || !this.parts.canDecide()) {
+		const {clock, view, groupJoin, primarySelection, send} = this.parts;
+		const primary = primarySelection.primaryOf(record.id);
+		if (primary.kind === 'other' || !this.parts.canDecide()) {
 			this.#abandon(pending);
 			return;
 		}
 
-		// Since the claim came, the copy's holder may have been lost, which may have granted the id itself.
-		const doubt = version === 0 && !record.isGranted ? this.parts.vouching.doubtOf(record.id) : undefined;
-		if (doubt !== undefined) {
+		// Since the claim was received, the backup may have granted the id itself and then been lost.
+		const uncertainty = version === 0 && !record.isGranted ? this.parts.coverage.uncertaintyOf(record.id) : undefined;
+		if (uncertainty !== undefined) {
 			this.#pending.delete(keyOf(record, version));
-			this.parts.onDoubt(record, doubt);
+			this.parts.onUncertain(record, uncertainty);
 			return;
 		}
 
-		if (authority.backup === undefined) {
+		if (primary.backup === undefined) {
 			this.#finish(pending);
 			return;
 		}
 
-		pending.sentTo = authority.backup.id;
+		pending.sentTo = primary.backup.id;
 		pending.sentAt = clock.now();
-		send(authority.backup.id, {
-			kind: 'copy', era: entry.era, record: recordCopyOf(record, clock.now(), version), fenced: [...view.fenced],
+		send(primary.backup.id, {
+			kind: 'copy', era: groupJoin.era, record: recordCopyOf(record, clock.now(), version), fenced: [...view.fenced],
 		});
 	}
 
-	#finish(pending: Pending): void {
+	#finish(pending: PendingCopy): void {
 		this.#pending.delete(keyOf(pending.record, pending.version));
-		pending.done();
+		pending.onDone();
 	}
 
 	/**
-	 * Another registrar decides on the id now. A claim that wasn't granted yet isn't, here; the record stays, since the
-	 * other one may have got a copy of it and grant that.
+	 * Abandons a copy because another registrar is the primary now, or this one can't decide. A claim that isn't granted yet
+	 * is redirected. Its record stays, because the new primary may have received a copy and grant it.
 	 */
-	#abandon({record, version}: Pending): void {
+	#abandon({record, version}: PendingCopy): void {
 		this.#pending.delete(keyOf(record, version));
 		if (version === 0) {
 			this.parts.send(record.executor, {kind: 'redirect', id: record.id, nonce: record.nonce});
--- a/src/features/submissions/state-transfer.ts
+++ b/src/features/submissions/state-transfer.ts
@@ -1,8 +1,8 @@
-/** Gives a registrar's records to those that enter the circle, and to those that stay when it leaves. */
+/** Transfers a registrar's records to joining members, and to the remaining members when it leaves. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
-import type {CircleEntry} from './circle-entry.js';
-import type {CircleView} from './circle-view.js';
+import type {GroupJoin} from './group-join.js';
+import type {GroupView} from './group-view.js';
 import {Handover} from './handover.js';
 import {recordCopyOf} from './record-copy-of.js';
 import type {RecordCopy} from './record-copy.js';
@@ -14,13 +14,13 @@
 
 type StateTransferParts = {
 	readonly clock: Clock;
-	readonly view: CircleView;
-	readonly entry: CircleEntry;
+	readonly view: GroupView;
+	readonly groupJoin: GroupJoin;
 	readonly store: RecordStore;
 	readonly send: (to: MemberId, message: RegistryMessage) => void;
 };
 
-/** An entrant gets all records; those that stay get the ones for which they rank first or second from now on. */
+/** Joining members receive all records; remaining members receive those whose primary or backup they become. */
 export class StateTransfer {
 	readonly #handover: Handover;
 	#isLeaving = false;
@@ -37,9 +37,9 @@
 		return this.#isLeaving && this.#handover.isDone;
 	}
 
-	/** Sends all records in one step, so that no grant falls between. */
+	/** Sends all records synchronously, so that no grant is missed. */
 	sendAll(to: MemberId, era: number): void {
-		const {view, entry, send} = this.parts;
+		const {view, groupJoin, send} = this.parts;
 		const batches = batchesOf(this.#granted().map(record => recordCopyOf(record, this.parts.clock.now())));
 		for (const [index, batch] of batches.entries()) {
 			send(to, {
@@ -47,14 +47,14 @@
 				era,
 				records: batch,
 				isLast: index === batches.length - 1,
-				isActive: entry.isActive,
-				vouchFrom: Math.max(entry.vouchFrom, view.latestDoubleLoss),
-				ownEra: entry.era,
+				isActive: groupJoin.isActive,
+				vouchFrom: Math.max(groupJoin.coverageStart, view.latestPossibleLoss),
+				ownEra: groupJoin.era,
 			});
 		}
 	}
 
-	/** Begins to hand all records over. */
+	/** Starts the handover of all records. */
 	leave(): void {
 		if (this.#isLeaving) {
 			return;
@@ -63,7 +63,7 @@
 		this.#isLeaving = true;
 		const byMember = new Map<MemberId, RecordCopy[]>();
 		for (const record of this.#granted()) {
-			for (const to of this.#heirsOf(record)) {
+			for (const to of this.#successorsOf(record)) {
 				const list = byMember.get(to) ?? [];
 				byMember.set(to, list);
 				list.push(recordCopyOf(record, this.parts.clock.now()));
@@ -77,31 +77,31 @@
 		}
 	}
 
-	/** What a leaving registrar still accepts goes to those who stay, before it says farewell. */
-	passOn(record: RecordCopy): void {
+	/** Forwards a copy received while leaving to the remaining members. */
+	forward(record: RecordCopy): void {
 		if (this.#isLeaving) {
-			for (const to of this.#heirsOf(record)) {
+			for (const to of this.#successorsOf(record)) {
 				this.#handover.add(to, [record]);
 			}
 		}
 	}
 
-	taken(sequence: number): void {
-		this.#handover.taken(sequence);
+	acknowledge(sequence: number): void {
+		this.#handover.acknowledge(sequence);
 	}
 
 	resend(): void {
 		this.#handover.resend();
 	}
 
-	/** What others must know of; a claim that still waits for its copy isn't granted by anyone. */
+	/** Granted records; claims that are not replicated yet are not transferred. */
 	#granted(): readonly SubmissionRecord[] {
 		return [...this.parts.store.all()].filter(record => record.isGranted);
 	}
 
-	/** Who owns a record and who has its copy, once this registrar is gone. */
-	#heirsOf({id}: Pick<SubmissionRecord, 'id'>): readonly MemberId[] {
-		return this.parts.view.rankOfOthers(id).slice(0, 2).map(member => member.id);
+	/** The primary and the backup of a record after this registrar has left. */
+	#successorsOf({id}: Pick<SubmissionRecord, 'id'>): readonly MemberId[] {
+		return this.parts.view.rankOthers(id).slice(0, 2).map(member => member.id);
 	}
 }
 
--- a/src/features/submissions/submission-record.ts
+++ b/src/features/submissions/submission-record.ts
@@ -1,21 +1,21 @@
-/** What a registrar remembers of a submission. */
+/** A registrar's record of a submission. */
 import type {JobAnswer} from '../../base/job-answer.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {SubmissionId} from '../../base/submission-id.js';
 import type {Verdict} from '../../base/verdict.js';
 
-/** A granted submission: running until it has a verdict. Times are the registrar's own monotonic ones. */
+/** A claimed submission, which is running until it has a verdict. Times are local monotonic milliseconds. */
 export type SubmissionRecord = {
 	readonly id: SubmissionId;
 	readonly fingerprint: string;
-	/** Who was granted the claim, and which of its claims. */
+	/** The member that made the claim, and the nonce of that claim. */
 	readonly executor: MemberId;
 	readonly nonce: string;
-	/** False while its owner waits for the copy's holder: nobody runs it by this record yet. */
+	/** False while the primary waits for the backup's acknowledgement. */
 	isGranted: boolean;
 	verdict: Verdict<JobAnswer> | undefined;
-	/** When a running record is given up, or a settled one forgotten. */
+	/** Time at which a running submission is considered lost, or a settled record is deleted. */
 	expiresAt: number;
-	/** Memory that the record takes, roughly. */
+	/** Approximate memory of the record. */
 	bytes: number;
 };
--- a/src/features/submissions/submission-registry-key.ts
+++ b/src/features/submissions/submission-registry-key.ts
@@ -1,6 +1,6 @@
-/** The container's name for this entry's part in the registry. */
+/** Service key of the submission registry. */
 import {ServiceKey} from '../../runtime/kernel/service-key.js';
 import type {SubmissionRegistry} from './submission-registry.js';
 
-/** Provided by the submissions feature; for status and shutdown. */
+/** Key of the service provided by the submissions feature; used for status and shutdown. */
 export const submissionRegistryKey = new ServiceKey<SubmissionRegistry>('submission-registry');
--- a/src/features/submissions/submission-registry.ts
+++ b/src/features/submissions/submission-registry.ts
@@ -1,4 +1,4 @@
-/** This entry's part in the registry: its desk, and its registrar. */
+/** Connects this entry's registry client and registrar to the network. */
 import {match, P} from 'ts-pattern';
 import {CancellationSource} from '../../base/cancellation-source.js';
 import type {Clock} from '../../base/clock.js';
@@ -13,15 +13,15 @@
 import type {Settings} from '../../runtime/settings/settings.js';
 import type {Membership} from '../membership/membership.js';
 import {Registrar} from './registrar.js';
-import type {RegistrarSurroundings} from './registrar-surroundings.js';
+import type {RegistrarEnvironment} from './registrar-environment.js';
 import type {RegistryMessage} from './registry-message.js';
 import {registryMessageSchema} from './registry-message-schema.js';
-import {RegistrySubmissionDesk} from './registry-submission-desk.js';
-import type {ZoneBirths} from './zone-births.js';
+import {RemoteRegistryClient} from './remote-registry-client.js';
+import type {ZoneHistory} from './zone-history.js';
 
 const channel = 'registry';
 const bytesPerMegabyte = 1_048_576;
-/** How often an entry looks whether the instance list shows it, before it enters its zone's circle. */
+/** Interval at which an entry checks whether it is on the instance list and whether it has joined the group. */
 const listPollMilliseconds = 100;
 const handoverPollMilliseconds = 20;
 
@@ -29,14 +29,14 @@
 	readonly settings: Settings;
 	readonly network: PeerNetwork;
 	readonly membership: Membership;
-	readonly births: ZoneBirths;
+	readonly zoneHistory: ZoneHistory;
 	readonly clock: Clock;
 	readonly journal: Journal;
 };
 
-/** Owns both parts and carries messages between them and the network. */
+/** Owns the client and the registrar, and dispatches messages between them and the network. */
 export class SubmissionRegistry implements Disposable {
-	readonly client: RegistrySubmissionDesk;
+	readonly client: RemoteRegistryClient;
 	readonly registrar: Registrar;
 	readonly #store = new DisposableStore();
 	readonly #cancellation = new CancellationSource();
@@ -47,7 +47,7 @@
 			this.#send(to, message);
 		};
 
-		this.client = new RegistrySubmissionDesk({
+		this.client = new RemoteRegistryClient({
 			self: membership.self.id,
 			zones: settings.entry.zones,
 			clock,
@@ -60,7 +60,7 @@
 			self: membership.self,
 			clock,
 			journal,
-			surroundings: surroundingsOf(membership),
+			environment: environmentOf(membership),
 			send,
 			retentionMilliseconds: settings.registry.retentionMilliseconds,
 			limitBytes: settings.registry.memoryMegabytes * bytesPerMegabyte,
@@ -80,20 +80,20 @@
 		this.#store.add(repeat(clock, Registrar.tickMilliseconds, () => {
 			this.registrar.tick();
 		}));
-		this.#store.add(repeat(clock, RegistrySubmissionDesk.tickMilliseconds, () => {
+		this.#store.add(repeat(clock, RemoteRegistryClient.tickMilliseconds, () => {
 			this.client.tick();
 		}));
-		void this.#enter();
+		void this.#joinGroup();
 	}
 
-	/** Hands the records over to the others; resolves when they have them, or the caller's patience ends. */
+	/** Hands the records over and resolves once the other members have acknowledged them; the caller applies a timeout. */
 	async leave(): Promise<void> {
 		this.registrar.leave();
-		while (!(this.registrar.hasHandedOver && this.client.isSettled)) {
+		while (!(this.registrar.hasHandedOver && this.client.hasSettledAll)) {
 			await wait(this.parts.clock, handoverPollMilliseconds);
 		}
 
-		this.registrar.farewell();
+		this.registrar.announceLeave();
 	}
 
 	dispose(): void {
@@ -101,27 +101,27 @@
 		this.#store.dispose();
 	}
 
-	/** Enters when the list shows this entry: whoever enters later then sees it there. */
-	async #enter(): Promise<void> {
-		const {membership, births, clock, journal, settings} = this.parts;
+	/** Joins the group once this entry is on the instance list, so that entries that join later see it. */
+	async #joinGroup(): Promise<void> {
+		const {membership, zoneHistory, clock, journal, settings} = this.parts;
 		const {zone} = membership.self;
 		const {token} = this.#cancellation;
 		while (membership.listedAt === undefined) {
 			await wait(this.parts.clock, listPollMilliseconds);
 		}
 
-		const isNew = await births.isNew(zone, member => membership.memberOf(member) !== undefined, token);
-		const vouchFrom = isNew ? 0 : clock.wallTime();
-		this.registrar.enter(vouchFrom);
+		const isNew = await zoneHistory.isNewZone(zone, member => membership.memberOf(member) !== undefined, token);
+		const coverageStart = isNew ? 0 : clock.wallTime();
+		this.registrar.join(coverageStart);
 		while (!this.registrar.isActive) {
 			await wait(this.parts.clock, listPollMilliseconds);
 		}
 
-		if (this.registrar.isFounder && !isNew) {
-			journal.record('vouchingLimited', {zone, forMilliseconds: settings.registry.retentionMilliseconds, detail: 'no entry of the zone was left to inherit from'});
+		if (this.registrar.isFirstMember && !isNew) {
+			journal.record('vouchingLimited', {zone, forMilliseconds: settings.registry.retentionMilliseconds, detail: 'no active registrar of the zone could provide its records'});
 		}
 
-		await births.announce(zone, membership.self.id, token);
+		await zoneHistory.recordStart(zone, membership.self.id, token);
 	}
 
 	#send(to: MemberId, message: RegistryMessage): void {
@@ -160,18 +160,18 @@
 	}
 }
 
-function surroundingsOf(membership: Membership): RegistrarSurroundings {
+function environmentOf(membership: Membership): RegistrarEnvironment {
 	return {
 		get listedAt() {
 			return membership.listedAt;
 		},
-		get neighbours() {
+		get peers() {
 			return membership.inZone(membership.self.zone).filter(member => member.id !== membership.self.id);
 		},
-		get hasUnresolved() {
+		get hasUnresolvedPeers() {
 			return membership.isUnresolved(membership.self.zone);
 		},
-		isOutOfTouch: member => membership.isOutOfTouch(member),
+		isContactStale: member => membership.isOutOfTouch(member),
 		isSilent: member => membership.isSilent(member),
 		memberOf: member => membership.memberOf(member),
 	};
--- a/src/features/submissions/submission.ts
+++ b/src/features/submissions/submission.ts
@@ -1,11 +1,11 @@
-/** What the registry knows a job by. */
+/** Identifies a job in the registry. */
 import type {SubmissionId} from '../../base/submission-id.js';
 
-/** A copy of a job as one entry received it. */
+/** A submission of a job as received by one entry. */
 export type Submission = {
 	readonly id: SubmissionId;
-	/** Hash of the profile's name and the tasks: an id that comes back with another content is a mistake. */
+	/** Hash of the profile's name and the tasks, used to detect the reuse of an id for a different job. */
 	readonly fingerprint: string;
-	/** When the job's answer is due, on this entry's monotonic clock. */
+	/** Deadline of the job in milliseconds on this entry's monotonic clock. */
 	readonly deadlineAt: number;
 };
--- a/src/features/submissions/submissions.contribution.ts
+++ b/src/features/submissions/submissions.contribution.ts
@@ -9,7 +9,7 @@
 import {registryClientKey} from './registry-client-key.js';
 import {SubmissionRegistry} from './submission-registry.js';
 import {submissionRegistryKey} from './submission-registry-key.js';
-import {ZoneBirths} from './zone-births.js';
+import {ZoneHistory} from './zone-history.js';
 
 const birthsStreamName = 'births';
 
@@ -24,7 +24,7 @@
 			settings,
 			network: services.get(runtimeKeys.peerNetwork),
 			membership: services.get(membershipKey),
-			births: new ZoneBirths(services.get(runtimeKeys.streams).open(birthsStreamName), clock),
+			zoneHistory: new ZoneHistory(services.get(runtimeKeys.streams).open(birthsStreamName), clock),
 			clock,
 			journal: services.get(runtimeKeys.journal),
 		}));
--- a/src/features/submissions/verdict-schema.ts
+++ b/src/features/submissions/verdict-schema.ts
@@ -1,4 +1,4 @@
-/** Checks verdicts that peers send. */
+/** Schema of verdicts received from peers. */
 import * as z from 'zod';
 import type {DoubtCause} from '../../base/doubt-cause.js';
 import type {JobAnswer} from '../../base/job-answer.js';
@@ -6,7 +6,7 @@
 import type {RefusalCause} from '../../base/refusal-cause.js';
 import type {Verdict} from '../../base/verdict.js';
 
-/** The verdict of a job. */
+/** Validates the verdict of a job. */
 export const verdictSchema = z.discriminatedUnion('kind', [
 	z.object({
 		kind: z.literal('answered'),
--- a/src/features/submissions/zone-births.ts
+++ b/src/features/submissions/zone-history.ts
@@ -1,4 +1,4 @@
-/** Whether a zone had entries before. */
+/** Records in the log which entries a zone has had. */
 import * as z from 'zod';
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {CancellationToken} from '../../base/cancellation-token.js';
@@ -8,19 +8,19 @@
 import {wait} from '../../base/wait.js';
 import type {LogStream} from '../../runtime/stream/log-stream.js';
 
-const appendAgainMilliseconds = 2000;
+const appendRetryMilliseconds = 2000;
 
 const birthSchema = z.looseObject({kind: z.literal('birth'), zone: z.string(), member: z.string()});
 
 /**
- * Each entry appends its birth to a stream of the log. An entry that finds nobody in its zone to inherit records from
- * reads there whether somebody may have been: with no earlier birth of its zone, and no record trimmed, the zone is new.
+ * Each entry appends a record to a log stream when it starts. An entry reads the stream to determine whether its zone is
+ * new: no former entry of the zone is recorded, and the log has not been trimmed.
  */
-export class ZoneBirths {
+export class ZoneHistory {
 	constructor(private readonly stream: LogStream, private readonly clock: Clock) {}
 
-	/** False where it can't be ruled out that entries lived in the zone which aren't there any more. */
-	async isNew(zone: AvailabilityZone, isAlive: (member: MemberId) => boolean, token: CancellationToken): Promise<boolean> {
+	/** False if the zone may have had entries that are no longer alive. */
+	async isNewZone(zone: AvailabilityZone, isAlive: (member: MemberId) => boolean, token: CancellationToken): Promise<boolean> {
 		let from = 0 as StreamOffset;
 		for (;;) {
 			const reading = await this.stream.read(from, 0, token);
@@ -44,8 +44,8 @@
 		}
 	}
 
-	/** Appends this entry's birth, trying until it's certain to be there. */
-	async announce(zone: AvailabilityZone, member: MemberId, token: CancellationToken): Promise<void> {
+	/** Appends this entry's start record, and retries until the append is confirmed. */
+	async recordStart(zone: AvailabilityZone, member: MemberId, token: CancellationToken): Promise<void> {
 		while (!token.isCancellationRequested) {
 			const appended = await this.stream.append({
 				kind: 'birth', zone, member, at: this.clock.wallTime(),
@@ -54,7 +54,7 @@
 				return;
 			}
 
-			await wait(this.clock, appendAgainMilliseconds);
+			await wait(this.clock, appendRetryMilliseconds);
 		}
 	}
 }
--- a/test/features/submissions/create-registry-node.ts
+++ b/test/features/submissions/create-registry-node.ts
@@ -1,38 +1,38 @@
-/** Entries of a world of registrars. */
+/** Creates entries of a registry simulation. */
 import type {MemberId} from '../../../src/base/member-id.js';
 import {Registrar} from '../../../src/features/submissions/registrar.js';
 import type {RegistryMessage} from '../../../src/features/submissions/registry-message.js';
-import {RegistrySubmissionDesk} from '../../../src/features/submissions/registry-submission-desk.js';
+import {RemoteRegistryClient} from '../../../src/features/submissions/remote-registry-client.js';
 import type {Member} from '../../../src/runtime/peers/member.js';
 import type {RecordingJournal} from '../../support/recording-journal.js';
-import {NodeClock} from './node-clock.js';
-import type {PlantedBug} from './planted-bug.js';
-import type {RegistryFlights} from './registry-flights.js';
+import {SimulationClock} from './simulation-clock.js';
+import type {InjectedBug} from './injected-bug.js';
+import type {SimulatedNetwork} from './simulated-network.js';
 import type {RegistryNode} from './registry-node.js';
 
 const silenceMilliseconds = 2000;
 const retentionMilliseconds = 300_000;
 
-/** What an entry has of its world. */
-type World = {
-	readonly bug: PlantedBug;
+/** The simulation's services used by an entry. */
+type NodeContext = {
+	readonly bug: InjectedBug;
 	readonly now: () => number;
-	readonly flights: RegistryFlights;
+	readonly network: SimulatedNetwork;
 	readonly journal: RecordingJournal;
 };
 
-/** A registrar and a desk of their own, which know nobody yet. */
-export function createRegistryNode(member: Member, world: World): RegistryNode {
+/** Creates an entry with its own registrar and client, which knows no peers yet. */
+export function createRegistryNode(member: Member, context: NodeContext): RegistryNode {
 	const known = new Map<MemberId, Member>();
 	const heardAt = new Map<MemberId, number>();
 	const reachedAt = new Map<MemberId, number>();
-	const {bug, now: read, journal} = world;
-	const clock = new NodeClock(read);
+	const {bug, now, journal} = context;
+	const clock = new SimulationClock(now);
 	const send = (to: MemberId, message: RegistryMessage) => {
-		world.flights.send(member.id, to, message);
+		context.network.send(member.id, to, message);
 	};
 
-	const isSilent = (id: MemberId) => id !== member.id && read() - (heardAt.get(id) ?? Number.NEGATIVE_INFINITY) > silenceMilliseconds;
+	const isSilent = (id: MemberId) => id !== member.id && now() - (heardAt.get(id) ?? Number.NEGATIVE_INFINITY) > silenceMilliseconds;
 	const node: RegistryNode = {
 		member,
 		known,
@@ -52,20 +52,20 @@
 			send,
 			retentionMilliseconds,
 			limitBytes: 1_000_000,
-			surroundings: {
+			environment: {
 				get listedAt() {
 					return node.listedAt;
 				},
-				get neighbours() {
+				get peers() {
 					return [...known.values()];
 				},
-				hasUnresolved: false,
+				hasUnresolvedPeers: false,
 				isSilent,
-				isOutOfTouch: id => bug !== 'losses out of touch are trusted' && read() - (reachedAt.get(id) ?? 0) >= silenceMilliseconds,
+				isContactStale: id => bug !== 'losses of unreachable peers are trusted' && now() - (reachedAt.get(id) ?? 0) >= silenceMilliseconds,
 				memberOf: id => id === member.id ? member : known.get(id),
 			},
 		}),
-		desk: new RegistrySubmissionDesk({
+		client: new RemoteRegistryClient({
 			self: member.id, zones: [member.zone], clock, journal, send, isSilent, membersOf: () => [member, ...known.values()],
 		}),
 	};
--- a/test/features/submissions/registry-faults.test.ts
+++ b/test/features/submissions/registry-faults.test.ts
@@ -1,262 +1,256 @@
-/** The registry under one fault at a time, and under two. */
+/** Tests the registry under one or two faults. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {MemberId} from '../../../src/base/member-id.js';
 import {rankByKey} from '../../../src/base/rank-by-key.js';
 import type {SubmissionId} from '../../../src/base/submission-id.js';
-import {RegistryWorld} from './registry-world.js';
+import {RegistrySimulation} from './registry-simulation.js';
 
 const id = 'booking-17' as SubmissionId;
 
-/** A world whose entries have entered the circle, with the id's owner, the copy's holder and the rest. */
-async function worldOf(entries = 3) {
-	const world = new RegistryWorld('none', entries);
-	await world.advance(2000);
-	const [owner, holder, third] = rankByKey(id, world.nodes, node => node.member.instance);
+/** Creates a simulation whose entries have joined the group, and returns the id's primary, backup and third entry. */
+async function createSimulation(entries = 3) {
+	const simulation = new RegistrySimulation('none', entries);
+	await simulation.advance(2000);
+	const [primary, backup, third] = rankByKey(id, simulation.nodes, node => node.member.instance);
 	return {
-		world, owner: owner!, holder: holder!, third: third!,
+		simulation, primary: primary!, backup: backup!, third: third!,
 	};
 }
 
-function kinds(world: RegistryWorld): readonly string[] {
-	return world.conclusions.map(({verdict}) => verdict.kind === 'answered' ? 'answered' : `${verdict.kind} ${verdict.cause}`);
+function conclusionKinds(simulation: RegistrySimulation): readonly string[] {
+	return simulation.conclusions.map(({verdict}) => verdict.kind === 'answered' ? 'answered' : `${verdict.kind} ${verdict.cause}`);
 }
 
-test('two copies of one submission at two entries at the same instant start once', async () => {
-	// The balancer repeats a charge and sends the copies to two entries.
-	// Each asks the same owner; the second waits and gets the first one's answer.
-	const {world, owner, third} = await worldOf();
-	world.submit(owner, id);
-	world.submit(third, id);
-	await world.advance(2000);
-	assert.equal(world.starts.get(id)?.length, 1);
-	assert.deepEqual(kinds(world), ['answered']);
+test('a submission sent to two entries at the same time starts once', async () => {
+	// Guards against running a submission twice when a load balancer sends it to two entries.
+	const {simulation, primary, third} = await createSimulation();
+	simulation.submit(primary, id);
+	simulation.submit(third, id);
+	await simulation.advance(2000);
+	assert.equal(simulation.starts.get(id)?.length, 1);
+	assert.deepEqual(conclusionKinds(simulation), ['answered']);
 });
 
-test('a copy that comes after the answer gets that answer', async () => {
-	const {world, owner, third} = await worldOf();
-	world.submit(owner, id);
-	await world.advance(2000);
-	world.submit(third, id);
-	await world.advance(500);
-	assert.deepEqual([world.starts.get(id)?.length, kinds(world)], [1, ['answered']]);
+test('a submission repeated after its answer gets that answer', async () => {
+	const {simulation, primary, third} = await createSimulation();
+	simulation.submit(primary, id);
+	await simulation.advance(2000);
+	simulation.submit(third, id);
+	await simulation.advance(500);
+	assert.deepEqual([simulation.starts.get(id)?.length, conclusionKinds(simulation)], [1, ['answered']]);
 });
 
-test('the owner dies after the grant: the copy\'s holder knows, and nothing starts again', async () => {
-	// A family's booking runs at one entry when the entry that recorded it dies.
-	// The family's tablet asks again elsewhere: without the copy, the seat would be sold twice.
-	const {world, owner, holder, third} = await worldOf();
-	world.submit(third, id, 3000);
-	await world.advance(300);
-	world.kill(owner);
-	await world.advance(1000);
-	world.submit(holder, id);
-	await world.advance(5000);
-	assert.deepEqual([world.starts.get(id)?.length, kinds(world)], [1, ['answered']]);
+test('after the primary dies, the backup knows of the grant and nothing starts again', async () => {
+	// Guards against running a submission twice when the primary dies during the run.
+	const {simulation, primary, backup, third} = await createSimulation();
+	simulation.submit(third, id, 3000);
+	await simulation.advance(300);
+	simulation.kill(primary);
+	await simulation.advance(1000);
+	simulation.submit(backup, id);
+	await simulation.advance(5000);
+	assert.deepEqual([simulation.starts.get(id)?.length, conclusionKinds(simulation)], [1, ['answered']]);
 });
 
-test('the owner dies before it grants: the claim goes to the next, and starts once', async () => {
-	const {world, owner, third} = await worldOf();
-	world.kill(owner);
-	world.submit(third, id);
-	await world.advance(3000);
-	assert.equal(world.starts.get(id)?.length, 1);
+test('if the primary dies before it grants, the claim goes to the backup and starts once', async () => {
+	const {simulation, primary, third} = await createSimulation();
+	simulation.kill(primary);
+	simulation.submit(third, id);
+	await simulation.advance(3000);
+	assert.equal(simulation.starts.get(id)?.length, 1);
 });
 
-test('owner and copy\'s holder die together: the third can\'t vouch, and says so', async () => {
-	// Both entries that knew of the booking are lost with their rack.
-	// The third has no record: granting would be a guess, so the caller learns that it may have run.
-	const {world, owner, holder, third} = await worldOf();
-	world.submit(owner, id, 60_000);
-	await world.advance(300);
-	world.kill(owner);
-	world.kill(holder);
-	await world.advance(1000);
-	world.submit(third, id);
-	await world.advance(4000);
-	assert.deepEqual([world.starts.get(id)?.length, kinds(world)], [1, ['mayHaveRun cannotVouch']]);
+test('if primary and backup die together, the third registrar concludes that the submission may have run', async () => {
+	// Guards against granting an id after the loss of both copies of its record.
+	const {simulation, primary, backup, third} = await createSimulation();
+	simulation.submit(primary, id, 60_000);
+	await simulation.advance(300);
+	simulation.kill(primary);
+	simulation.kill(backup);
+	await simulation.advance(1000);
+	simulation.submit(third, id);
+	await simulation.advance(4000);
+	assert.deepEqual([simulation.starts.get(id)?.length, conclusionKinds(simulation)], [1, ['mayHaveRun cannotVouch']]);
 });
 
-test('after that loss, an id that was made later is served', async () => {
-	const {world, owner, holder, third} = await worldOf();
-	world.kill(owner);
-	world.kill(holder);
-	await world.advance(5000);
-	const time = world.now.toString(16).padStart(12, '0');
+test('an id created after the loss of primary and backup is granted', async () => {
+	const {simulation, primary, backup, third} = await createSimulation();
+	simulation.kill(primary);
+	simulation.kill(backup);
+	await simulation.advance(5000);
+	const time = simulation.now.toString(16).padStart(12, '0');
 	const fresh = `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-000000000000` as SubmissionId;
-	world.submit(third, fresh);
-	await world.advance(1000);
-	assert.equal(world.starts.get(fresh)?.length, 1);
+	simulation.submit(third, fresh);
+	await simulation.advance(1000);
+	assert.equal(simulation.starts.get(fresh)?.length, 1);
 });
 
-test('the executor dies: another copy learns that it may have run, and isn\'t started', async () => {
-	const {world, owner, holder, third} = await worldOf();
-	world.submit(third, id, 3000);
-	await world.advance(300);
-	world.kill(third);
-	await world.advance(1000);
-	world.submit(owner, id);
-	world.submit(holder, id);
-	await world.advance(2000);
-	assert.deepEqual([world.starts.get(id)?.length, kinds(world)], [1, ['mayHaveRun executorLost', 'mayHaveRun executorLost']]);
+test('if the executor dies, later claims learn that the submission may have run', async () => {
+	const {simulation, primary, backup, third} = await createSimulation();
+	simulation.submit(third, id, 3000);
+	await simulation.advance(300);
+	simulation.kill(third);
+	await simulation.advance(1000);
+	simulation.submit(primary, id);
+	simulation.submit(backup, id);
+	await simulation.advance(2000);
+	assert.deepEqual([simulation.starts.get(id)?.length, conclusionKinds(simulation)], [1, ['mayHaveRun executorLost', 'mayHaveRun executorLost']]);
 });
 
-test('the owner is paused: the holder takes over; the owner wakes and asks before it decides', async () => {
-	// An entry is stopped for ten seconds while it owns a booking's id. The holder of the copy takes its place and grants
-	// the booking. When the owner wakes it has no record of it: it must enter the circle again before it grants.
-	const {world, owner, holder, third} = await worldOf();
-	world.pause(owner, 10_000);
-	await world.advance(4000);
-	world.submit(holder, id, 200);
-	await world.advance(2000);
-	assert.equal(world.starts.get(id)?.length, 1);
-	await world.advance(6000);
-	world.submit(owner, id);
-	world.submit(third, id);
-	await world.advance(3000);
-	assert.deepEqual([world.starts.get(id)?.length, kinds(world)], [1, ['answered', 'answered']]);
-	assert.ok(world.journal.named('registrarPaused').length > 0);
+test('a primary that resumes after a takeover rejoins before it decides', async () => {
+	// Guards against a grant by a primary that resumes after its backup has taken over.
+	const {simulation, primary, backup, third} = await createSimulation();
+	simulation.pause(primary, 10_000);
+	await simulation.advance(4000);
+	simulation.submit(backup, id, 200);
+	await simulation.advance(2000);
+	assert.equal(simulation.starts.get(id)?.length, 1);
+	await simulation.advance(6000);
+	simulation.submit(primary, id);
+	simulation.submit(third, id);
+	await simulation.advance(3000);
+	assert.deepEqual([simulation.starts.get(id)?.length, conclusionKinds(simulation)], [1, ['answered', 'answered']]);
+	assert.ok(simulation.journal.named('registrarPaused').length > 0);
 });
 
-test('the copy\'s reply is lost: the claim isn\'t granted until another reply comes', async () => {
-	const {world, owner, holder} = await worldOf();
-	world.cut(holder, owner);
-	world.submit(owner, id);
-	await world.advance(1000);
-	assert.equal(world.starts.get(id), undefined);
-	world.heal();
-	await world.advance(1000);
-	assert.equal(world.starts.get(id)?.length, 1);
+test('a claim isn\'t granted until its copy is acknowledged', async () => {
+	const {simulation, primary, backup} = await createSimulation();
+	simulation.cut(backup, primary);
+	simulation.submit(primary, id);
+	await simulation.advance(1000);
+	assert.equal(simulation.starts.get(id), undefined);
+	simulation.heal();
+	await simulation.advance(1000);
+	assert.equal(simulation.starts.get(id)?.length, 1);
 });
 
-test('owner and holder can\'t reach each other: at most one of them grants', async () => {
-	// A switch fails between two entries of a zone. Both live, both have callers, and each believes the other dead.
-	// The owner can't grant without the copy; the holder fences it and decides alone.
-	const {world, owner, holder} = await worldOf(2);
-	world.cut(owner, holder);
-	world.cut(holder, owner);
-	await world.advance(4000);
-	world.submit(owner, id);
-	world.submit(holder, id);
-	await world.advance(9000);
-	assert.equal(world.starts.get(id)?.length, 1);
-	world.heal();
-	await world.advance(4000);
-	world.submit(owner, id);
-	await world.advance(1000);
-	assert.equal(world.starts.get(id)?.length, 1);
+test('if primary and backup can\'t reach each other, at most one of them grants', async () => {
+	// Guards against two grants of one id during a network partition.
+	const {simulation, primary, backup} = await createSimulation(2);
+	simulation.cut(primary, backup);
+	simulation.cut(backup, primary);
+	await simulation.advance(4000);
+	simulation.submit(primary, id);
+	simulation.submit(backup, id);
+	await simulation.advance(9000);
+	assert.equal(simulation.starts.get(id)?.length, 1);
+	simulation.heal();
+	await simulation.advance(4000);
+	simulation.submit(primary, id);
+	await simulation.advance(1000);
+	assert.equal(simulation.starts.get(id)?.length, 1);
 });
 
-test('a one-way cut: what the owner can\'t hear it doesn\'t grant on', async () => {
-	const {world, owner, holder, third} = await worldOf();
-	world.cut(holder, owner);
-	await world.advance(4000);
-	world.submit(third, id);
-	world.submit(owner, id);
-	await world.advance(9000);
-	assert.ok((world.starts.get(id)?.length ?? 0) <= 1);
+test('a primary that can\'t receive acknowledgements doesn\'t grant', async () => {
+	const {simulation, primary, backup, third} = await createSimulation();
+	simulation.cut(backup, primary);
+	await simulation.advance(4000);
+	simulation.submit(third, id);
+	simulation.submit(primary, id);
+	await simulation.advance(9000);
+	assert.ok((simulation.starts.get(id)?.length ?? 0) <= 1);
 });
 
-test('an entry that the platform dropped, and that hears nobody, doesn\'t act in another\'s place', async () => {
-	// The holder is cut off from the owner and delisted: the owner goes on without it by the list's word.
-	// If the holder fenced the owner as well, both would grant. Between the cut and the list's word the holder may have
-	// granted: the owner can't vouch for older ids.
-	const {world, owner, holder} = await worldOf(2);
-	world.cut(owner, holder);
-	world.cut(holder, owner);
-	world.delist(holder);
-	await world.advance(12_000);
-	world.submit(owner, id);
-	world.submit(holder, id);
-	await world.advance(9000);
-	assert.deepEqual([world.starts.get(id), kinds(world)], [undefined, ['mayHaveRun cannotVouch', 'mayHaveRun homeUnreachable']]);
+test('a partitioned backup that isn\'t on the instance list doesn\'t take over', async () => {
+	// Guards against two grants when the partitioned backup is removed from the instance list: it must not take over, and
+	// the primary must not grant ids that the backup may have granted before its removal.
+	const {simulation, primary, backup} = await createSimulation(2);
+	simulation.cut(primary, backup);
+	simulation.cut(backup, primary);
+	simulation.delist(backup);
+	await simulation.advance(12_000);
+	simulation.submit(primary, id);
+	simulation.submit(backup, id);
+	await simulation.advance(9000);
+	assert.deepEqual([simulation.starts.get(id), conclusionKinds(simulation)], [undefined, ['mayHaveRun cannotVouch', 'mayHaveRun homeUnreachable']]);
 });
 
-test('a new entry that ranks first inherits before it decides', async () => {
-	const {world, owner, third} = await worldOf();
-	world.submit(third, id, 500);
-	await world.advance(1000);
-	// Enough newcomers that one of them ranks before the present owner.
+test('a joining entry that ranks first receives the records before it decides', async () => {
+	const {simulation, primary, third} = await createSimulation();
+	simulation.submit(third, id, 500);
+	await simulation.advance(1000);
+	// Enough entries that one of them ranks before the current primary.
 	for (let index = 0; index < 6; index++) {
-		world.add();
+		simulation.add();
 	}
 
-	await world.advance(2000);
-	const [first] = rankByKey(id, world.nodes, node => node.member.instance);
-	assert.notEqual(first, owner);
-	world.submit(first!, id);
-	await world.advance(1000);
-	assert.deepEqual([world.starts.get(id)?.length, kinds(world)], [1, ['answered']]);
+	await simulation.advance(2000);
+	const [first] = rankByKey(id, simulation.nodes, node => node.member.instance);
+	assert.notEqual(first, primary);
+	simulation.submit(first!, id);
+	await simulation.advance(1000);
+	assert.deepEqual([simulation.starts.get(id)?.length, conclusionKinds(simulation)], [1, ['answered']]);
 });
 
 test('a rolling replacement of all entries loses no record', async () => {
-	// All entries of a zone are replaced one after the other while a result is remembered.
-	const {world, third} = await worldOf();
-	world.submit(third, id, 300);
-	await world.advance(1000);
-	const old = [...world.nodes];
+	// Guards against losing a stored result when all entries are replaced one after another.
+	const {simulation, third} = await createSimulation();
+	simulation.submit(third, id, 300);
+	await simulation.advance(1000);
+	const old = [...simulation.nodes];
 	for (const node of old) {
-		world.add();
-		await world.advance(1500);
-		world.leave(node);
-		await world.advance(1500);
+		simulation.add();
+		await simulation.advance(1500);
+		simulation.leave(node);
+		await simulation.advance(1500);
 	}
 
-	world.submit(world.live[0]!, id);
-	await world.advance(1000);
-	assert.deepEqual([world.starts.get(id)?.length, kinds(world)], [1, ['answered']]);
+	simulation.submit(simulation.live[0]!, id);
+	await simulation.advance(1000);
+	assert.deepEqual([simulation.starts.get(id)?.length, conclusionKinds(simulation)], [1, ['answered']]);
 });
 
-test('all entries of a zone die, and new ones come: an id without a time may have run', async () => {
-	const {world} = await worldOf(2);
-	for (const node of world.live) {
-		world.kill(node);
+test('after all entries of a zone were replaced, an id without a timestamp may have run', async () => {
+	const {simulation} = await createSimulation(2);
+	for (const node of simulation.live) {
+		simulation.kill(node);
 	}
 
-	await world.advance(1000);
-	const newcomer = world.add();
-	await world.advance(2500);
-	world.submit(newcomer, id);
-	await world.advance(1000);
-	assert.deepEqual([world.starts.get(id), kinds(world)], [undefined, ['mayHaveRun cannotVouch']]);
+	await simulation.advance(1000);
+	const joined = simulation.add();
+	await simulation.advance(2500);
+	simulation.submit(joined, id);
+	await simulation.advance(1000);
+	assert.deepEqual([simulation.starts.get(id), conclusionKinds(simulation)], [undefined, ['mayHaveRun cannotVouch']]);
 });
 
-test('nobody of the home zone can be reached: the caller gets its answer soon', async () => {
-	const {world, owner, holder, third} = await worldOf();
-	for (const node of [owner, holder]) {
-		world.pause(node, 60_000);
+test('if the home zone is unreachable, the caller gets its answer soon', async () => {
+	const {simulation, primary, backup, third} = await createSimulation();
+	for (const node of [primary, backup]) {
+		simulation.pause(node, 60_000);
 	}
 
-	await world.advance(500);
-	world.losePlatform();
-	world.submit(third, id);
-	await world.advance(3500);
-	assert.deepEqual([world.starts.get(id), kinds(world)], [undefined, ['mayHaveRun homeUnreachable']]);
+	await simulation.advance(500);
+	simulation.losePlatform();
+	simulation.submit(third, id);
+	await simulation.advance(3500);
+	assert.deepEqual([simulation.starts.get(id), conclusionKinds(simulation)], [undefined, ['mayHaveRun homeUnreachable']]);
 });
 
-test('another content under a known id is refused as not run', async () => {
-	const {world, owner} = await worldOf();
-	world.submit(owner, id);
-	await world.advance(1000);
-	const claim = owner.desk.claim({id, fingerprint: 'other', deadlineAt: world.now + 1000}, {
+test('a known id with different content is refused as not run', async () => {
+	const {simulation, primary} = await createSimulation();
+	simulation.submit(primary, id);
+	await simulation.advance(1000);
+	const claim = primary.client.claim({id, fingerprint: 'other', deadlineAt: simulation.now + 1000}, {
 		isCancellationRequested: false, onDidRequestCancellation: () => ({
 			dispose() {
 				// Never fires.
 			},
 		}),
 	});
-	await world.advance(200);
+	await simulation.advance(200);
 	const concluded = await claim;
 	assert.equal(concluded.kind === 'concluded' && concluded.verdict.kind === 'notRun' && concluded.verdict.cause, 'conflictingReuse');
 });
 
-test('messages of a stranger to the circle change nothing', async () => {
-	const {world, owner} = await worldOf();
+test('messages of a sender outside the group change nothing', async () => {
+	const {simulation, primary} = await createSimulation();
 	const record = {
-		id, fingerprint: 'same', executor: 'stranger#1' as MemberId, nonce: 'n', version: 1, remainingMilliseconds: 9000, verdict: {kind: 'answered', answer: {kind: 'complete', results: ['forged']}},
+		id, fingerprint: 'same', executor: 'unknown#1' as MemberId, nonce: 'n', version: 1, remainingMilliseconds: 9000, verdict: {kind: 'answered', answer: {kind: 'complete', results: ['forged']}},
 	} as const;
-	owner.registrar.receive('stranger#1' as MemberId, {
+	primary.registrar.receive('unknown#1' as MemberId, {
 		kind: 'copy', era: 1, record, fenced: [],
 	});
-	assert.equal(owner.registrar.records, 0);
+	assert.equal(primary.registrar.records, 0);
 });
--- a/test/features/submissions/registry-node.ts
+++ b/test/features/submissions/registry-node.ts
@@ -1,14 +1,14 @@
-/** An entry in a world of registrars. */
+/** An entry in a registry simulation. */
 import type {MemberId} from '../../../src/base/member-id.js';
 import type {Registrar} from '../../../src/features/submissions/registrar.js';
-import type {RegistrySubmissionDesk} from '../../../src/features/submissions/registry-submission-desk.js';
+import type {RemoteRegistryClient} from '../../../src/features/submissions/remote-registry-client.js';
 import type {Member} from '../../../src/runtime/peers/member.js';
 
-/** Its parts, and what the world keeps of it. Times are the world's milliseconds. */
+/** The entry's services and simulation state. Times are simulated milliseconds. */
 export type RegistryNode = {
 	readonly member: Member;
 	readonly registrar: Registrar;
-	readonly desk: RegistrySubmissionDesk;
+	readonly client: RemoteRegistryClient;
 	readonly heardAt: Map<MemberId, number>;
 	readonly reachedAt: Map<MemberId, number>;
 	readonly known: Map<MemberId, Member>;
--- a/test/features/submissions/registry-world.ts
+++ b/test/features/submissions/registry-simulation.ts
@@ -1,4 +1,4 @@
-/** A small fake of network, membership and time around real registrars and desks. */
+/** Runs real registrars and clients on a simulated network, membership and clock. */
 import {match, P} from 'ts-pattern';
 import type {AvailabilityZone} from '../../../src/base/availability-zone.js';
 import type {InstanceId} from '../../../src/base/instance-id.js';
@@ -12,8 +12,8 @@
 import {RecordingJournal} from '../../support/recording-journal.js';
 import {createRegistryNode} from './create-registry-node.js';
 import {introduce} from './introduce.js';
-import type {PlantedBug} from './planted-bug.js';
-import {RegistryFlights} from './registry-flights.js';
+import type {InjectedBug} from './injected-bug.js';
+import {SimulatedNetwork} from './simulated-network.js';
 import type {RegistryNode} from './registry-node.js';
 
 const home = 'home' as AvailabilityZone;
@@ -21,30 +21,30 @@
 const pingMilliseconds = 500;
 const delistedMilliseconds = 5000;
 const listPeriodMilliseconds = 1000;
-/** A refused connection proves a death so soon after it. */
-const proofMilliseconds = 300;
+/** Time until a refused connection reveals the end of an entry. */
+const lossDetectionMilliseconds = 300;
 
-type Flight = ReturnType<RegistryFlights['take']>[number];
-type Conclusion = {readonly id: SubmissionId; readonly verdict: Verdict<JobAnswer>; readonly startsThen: number};
+type Envelope = ReturnType<SimulatedNetwork['take']>[number];
+type Conclusion = {readonly id: SubmissionId; readonly verdict: Verdict<JobAnswer>; readonly startsAtConclusion: number};
 
-/** Three entries of one zone to begin with; every fault is a method. */
-export class RegistryWorld {
+/** Simulates the entries of one zone; each fault is a method. */
+export class RegistrySimulation {
 	now = 1_000_000;
 	readonly nodes: RegistryNode[] = [];
-	/** The claims that were granted and began to run, by id. */
+	/** Nonces of the claims that were granted and started, by id. */
 	readonly starts = new Map<SubmissionId, string[]>();
 	readonly conclusions: Conclusion[] = [];
 	readonly journal = new RecordingJournal();
-	readonly #flights: RegistryFlights;
+	readonly #network: SimulatedNetwork;
 	#running: Array<{readonly node: RegistryNode; readonly id: SubmissionId; readonly nonce: string; readonly endsAt: number}> = [];
 	readonly #losses: Array<{readonly at: number; readonly member: Member; readonly wasHandedOver: boolean}> = [];
 	readonly #delisted = new Set<MemberId>();
-	#isPlatformAway = false;
-	#births = 0;
+	#isListUnavailable = false;
+	#createdNodes = 0;
 
-	constructor(private readonly bug: PlantedBug = 'none', private readonly founders = 3) {
-		this.#flights = new RegistryFlights(bug, () => this.now);
-		for (let index = 0; index < founders; index++) {
+	constructor(private readonly bug: InjectedBug = 'none', private readonly initialNodes = 3) {
+		this.#network = new SimulatedNetwork(bug, () => this.now);
+		for (let index = 0; index < initialNodes; index++) {
 			this.add();
 		}
 	}
@@ -53,15 +53,15 @@
 		return this.nodes.filter(node => node.state === 'live');
 	}
 
-	/** One more entry of the zone. */
+	/** Adds an entry to the zone. */
 	add(): RegistryNode {
-		this.#births += 1;
-		const instance = `entry-${this.#births}` as InstanceId;
+		this.#createdNodes += 1;
+		const instance = `entry-${this.#createdNodes}` as InstanceId;
 		const member: Member = {
-			id: `${instance}#1` as MemberId, instance, zone: home, peerAddress: `127.0.0.1:${this.#births}`,
+			id: `${instance}#1` as MemberId, instance, zone: home, peerAddress: `127.0.0.1:${this.#createdNodes}`,
 		};
 		const node = createRegistryNode(member, {
-			bug: this.bug, now: () => this.now, flights: this.#flights, journal: this.journal,
+			bug: this.bug, now: () => this.now, network: this.#network, journal: this.journal,
 		});
 		for (const other of this.live) {
 			introduce(node, other, this.now);
@@ -72,7 +72,7 @@
 		return node;
 	}
 
-	/** A copy of a submission arrives at an entry. */
+	/** Submits a job to an entry. */
 	submit(node: RegistryNode, id: SubmissionId, runMilliseconds = 300): void {
 		if (node.state !== 'live' || !this.#isAwake(node)) {
 			return;
@@ -84,16 +84,16 @@
 	kill(node: RegistryNode): void {
 		if (node.state === 'live') {
 			node.state = 'dead';
-			this.#losses.push({at: this.now + proofMilliseconds, member: node.member, wasHandedOver: false});
+			this.#losses.push({at: this.now + lossDetectionMilliseconds, member: node.member, wasHandedOver: false});
 		}
 	}
 
-	/** Stops an entry for a while; what arrives meanwhile is delivered when it wakes. */
+	/** Pauses an entry; messages that arrive meanwhile are delivered when it resumes. */
 	pause(node: RegistryNode, milliseconds: number): void {
 		node.pausedUntil = Math.max(node.pausedUntil, this.now + milliseconds);
 	}
 
-	/** Begins a graceful end. */
+	/** Starts a graceful shutdown. */
 	leave(node: RegistryNode): void {
 		if (node.state === 'live' && node.leavingSince === undefined) {
 			node.leavingSince = this.now;
@@ -101,27 +101,27 @@
 		}
 	}
 
-	/** Swallows what goes from one entry to the other, from now on. */
+	/** Drops all further messages from one entry to the other. */
 	cut(from: RegistryNode, to: RegistryNode): void {
-		this.#flights.cut(from.member.id, to.member.id);
+		this.#network.cut(from.member.id, to.member.id);
 	}
 
 	heal(): void {
-		this.#flights.heal();
-		this.#isPlatformAway = false;
+		this.#network.heal();
+		this.#isListUnavailable = false;
 	}
 
-	/** The list and the log can't be read by anyone. */
+	/** Makes the instance list unavailable to all entries. */
 	losePlatform(): void {
-		this.#isPlatformAway = true;
+		this.#isListUnavailable = true;
 	}
 
-	/** The platform drops an entry from its list although it lives. */
+	/** Removes a live entry from the instance list. */
 	delist(node: RegistryNode): void {
 		this.#delisted.add(node.member.id);
 	}
 
-	/** Lets time pass in small steps. */
+	/** Advances the simulated time in small steps. */
 	async advance(milliseconds: number): Promise<void> {
 		const end = this.now + milliseconds;
 		while (this.now < end) {
@@ -135,14 +135,14 @@
 	}
 
 	async #claim(node: RegistryNode, id: SubmissionId, runMilliseconds: number): Promise<void> {
-		const claim = await node.desk.claim({id, fingerprint: 'same', deadlineAt: this.now + 8000}, neverCancelled);
+		const claim = await node.client.claim({id, fingerprint: 'same', deadlineAt: this.now + 8000}, neverCancelled);
 		if (node.state === 'dead') {
 			return;
 		}
 
 		const starts = this.starts.get(id) ?? [];
 		if (claim.kind === 'concluded') {
-			this.conclusions.push({id, verdict: claim.verdict, startsThen: starts.length});
+			this.conclusions.push({id, verdict: claim.verdict, startsAtConclusion: starts.length});
 			return;
 		}
 
@@ -164,9 +164,9 @@
 			}
 		}
 
-		// What is sent in answer within the step is delivered in it, as on a fast network.
-		for (let round = 0; round < 8 && this.#flights.size > 0; round++) {
-			this.#deliverFlights();
+		// Replies are delivered within the same step.
+		for (let round = 0; round < 8 && this.#network.size > 0; round++) {
+			this.#deliverMessages();
 		}
 
 		this.#endRuns();
@@ -182,15 +182,15 @@
 		this.#readList(node);
 		if (!node.hasEntered && node.listedAt !== undefined) {
 			node.hasEntered = true;
-			// The zone is new for those who are there from the beginning, and for nobody else.
-			node.registrar.enter(this.nodes.indexOf(node) < this.founders ? 0 : this.now);
+			// Only the initial entries see a new zone.
+			node.registrar.join(this.nodes.indexOf(node) < this.initialNodes ? 0 : this.now);
 		}
 
 		node.registrar.tick();
-		node.desk.tick();
+		node.client.tick();
 		if (this.now % pingMilliseconds === 0) {
 			for (const id of node.known.keys()) {
-				this.#flights.send(node.member.id, id, {kind: 'ping', stamp: this.now});
+				this.#network.send(node.member.id, id, {kind: 'ping', stamp: this.now});
 			}
 		}
 
@@ -208,17 +208,17 @@
 		}
 
 		if (isWhole) {
-			node.registrar.farewell();
+			node.registrar.announceLeave();
 		}
 
-		// Its last messages are under way when the process ends.
-		this.#deliverFlights();
+		// Delivers the last messages before the process ends.
+		this.#deliverMessages();
 		node.state = 'left';
-		this.#losses.push({at: this.now + proofMilliseconds, member: node.member, wasHandedOver: isWhole});
+		this.#losses.push({at: this.now + lossDetectionMilliseconds, member: node.member, wasHandedOver: isWhole});
 	}
 
 	#readList(node: RegistryNode): void {
-		if (this.#isPlatformAway || this.now % listPeriodMilliseconds !== 0) {
+		if (this.#isListUnavailable || this.now % listPeriodMilliseconds !== 0) {
 			return;
 		}
 
@@ -245,7 +245,7 @@
 		for (const loss of this.#losses) {
 			for (const node of this.live) {
 				if (loss.at <= this.now && node.known.has(loss.member.id)) {
-					this.#reach(node, () => {
+					this.#deliverOrQueue(node, () => {
 						node.known.delete(loss.member.id);
 						node.registrar.memberLost(loss.member.id, loss.wasHandedOver);
 					});
@@ -254,18 +254,18 @@
 		}
 	}
 
-	#deliverFlights(): void {
-		for (const flight of this.#flights.take()) {
-			const node = this.nodes.find(({member}) => member.id === flight.to);
+	#deliverMessages(): void {
+		for (const envelope of this.#network.take()) {
+			const node = this.nodes.find(({member}) => member.id === envelope.to);
 			if (node?.state === 'live') {
-				this.#reach(node, () => {
-					this.#arrive(node, flight);
+				this.#deliverOrQueue(node, () => {
+					this.#receive(node, envelope);
 				});
 			}
 		}
 	}
 
-	#reach(node: RegistryNode, deliver: () => void): void {
+	#deliverOrQueue(node: RegistryNode, deliver: () => void): void {
 		if (this.#isAwake(node)) {
 			deliver();
 		} else {
@@ -273,26 +273,26 @@
 		}
 	}
 
-	#arrive(node: RegistryNode, {from, message}: Flight): void {
+	#receive(node: RegistryNode, {from, message}: Envelope): void {
 		node.heardAt.set(from, this.now);
 		if (message.kind === 'ping' || message.kind === 'pong') {
-			this.#arriveProbe(node, from, message);
+			this.#receiveProbe(node, from, message);
 			return;
 		}
 
 		const checked = registryMessageSchema.parse(message);
 		match(checked)
 			.with({kind: P.union('granted', 'waiting', 'concluded', 'redirect', 'settled', 'cancelRequested')}, reply => {
-				node.desk.receive(from, reply);
+				node.client.receive(from, reply);
 			})
 			.otherwise(request => {
 				node.registrar.receive(from, request);
 			});
 	}
 
-	#arriveProbe(node: RegistryNode, from: MemberId, {kind, stamp}: Extract<Flight['message'], {kind: 'ping' | 'pong'}>): void {
+	#receiveProbe(node: RegistryNode, from: MemberId, {kind, stamp}: Extract<Envelope['message'], {kind: 'ping' | 'pong'}>): void {
 		if (kind === 'ping') {
-			this.#flights.send(node.member.id, from, {kind: 'pong', stamp});
+			this.#network.send(node.member.id, from, {kind: 'pong', stamp});
 		} else {
 			node.reachedAt.set(from, stamp);
 		}
@@ -303,7 +303,7 @@
 		this.#running = this.#running.filter(run => !ended.includes(run));
 		for (const {node, id, nonce} of ended) {
 			if (node.state === 'live') {
-				node.desk.settle(id, nonce, {kind: 'answered', answer: {kind: 'complete', results: [`${id} by ${nonce}`]}});
+				node.client.settle(id, nonce, {kind: 'answered', answer: {kind: 'complete', results: [`${id} by ${nonce}`]}});
 			}
 		}
 	}
--- a/test/features/submissions/registry-step.ts
+++ b/test/features/submissions/registry-step.ts
@@ -1,11 +1,11 @@
-/** Steps of a drawn history of the registry. */
+/** Steps of a randomly generated registry scenario. */
 import {match, P} from 'ts-pattern';
 import type {SubmissionId} from '../../../src/base/submission-id.js';
-import type {RegistryWorld} from './registry-world.js';
+import type {RegistrySimulation} from './registry-simulation.js';
 
-const mostEntries = 5;
+const maxEntries = 5;
 
-/** One thing that happens; entries are counted among the live ones. */
+/** A step of the scenario; `entry` and `other` are indexes into the live entries. */
 export type RegistryStep =
 	| {readonly kind: 'submit'; readonly entry: number; readonly id: SubmissionId; readonly run: number}
 	| {readonly kind: 'advance'; readonly milliseconds: number}
@@ -14,17 +14,17 @@
 	| {readonly kind: 'kill' | 'leave' | 'delist'; readonly entry: number}
 	| {readonly kind: 'heal' | 'add' | 'losePlatform'};
 
-type Node = RegistryWorld['nodes'][number];
+type Node = RegistrySimulation['nodes'][number];
 
-/** Lets a step happen; one that names nobody does nothing. */
-export async function playStep(world: RegistryWorld, step: RegistryStep): Promise<void> {
+/** Applies a step; does nothing if no entry is live. */
+export async function applyStep(simulation: RegistrySimulation, step: RegistryStep): Promise<void> {
 	if (step.kind === 'advance') {
-		await world.advance(step.milliseconds);
+		await simulation.advance(step.milliseconds);
 		return;
 	}
 
 	const at = (index: number, act: (node: Node) => void) => {
-		const node = world.live[index % Math.max(1, world.live.length)];
+		const node = simulation.live[index % Math.max(1, simulation.live.length)];
 		if (node !== undefined) {
 			act(node);
 		}
@@ -32,35 +32,35 @@
 
 	match(step)
 		.with({kind: P.union('heal', 'losePlatform')}, ({kind}) => {
-			world[kind]();
+			simulation[kind]();
 		})
 		.with({kind: 'add'}, () => {
-			if (world.live.length < mostEntries) {
-				world.add();
+			if (simulation.live.length < maxEntries) {
+				simulation.add();
 			}
 		})
 		.with({kind: P.union('kill', 'leave', 'delist')}, ({kind, entry}) => {
 			at(entry, node => {
-				world[kind](node);
+				simulation[kind](node);
 			});
 		})
 		.with({kind: 'submit'}, ({entry, id, run}) => {
 			at(entry, node => {
-				world.submit(node, id, run);
+				simulation.submit(node, id, run);
 			});
 		})
 		.with({kind: 'pause'}, ({entry, milliseconds}) => {
 			at(entry, node => {
-				world.pause(node, milliseconds);
+				simulation.pause(node, milliseconds);
 			});
 		})
 		.with({kind: 'cut'}, ({entry, other, isMutual}) => {
 			at(entry, from => {
 				at(other, to => {
 					if (from !== to) {
-						world.cut(from, to);
+						simulation.cut(from, to);
 						if (isMutual) {
-							world.cut(to, from);
+							simulation.cut(to, from);
 						}
 					}
 				});
