--- a/src/entries/command/read-profile.ts
+++ b/src/entries/command/read-profile.ts
@@ -2,14 +2,14 @@
 import {readFileSync} from 'node:fs';
 import type {Profile} from '../../features/profiles/profile.js';
 import {profileSchema} from '../../features/profiles/profile-schema.js';
-import {describeProblem} from '../../runtime/settings/describe-problem.js';
-import {readDocument} from '../../runtime/settings/read-document.js';
+import {formatProblem} from '../../runtime/settings/format-problem.js';
+import {parseDocument} from '../../runtime/settings/parse-document.js';
 
 /** Rejects with a line for each mistake. */
 export function readProfile(file: string): Profile {
-	const document = readDocument(readFileSync(file, 'utf8'), profileSchema);
+	const document = parseDocument(readFileSync(file, 'utf8'), profileSchema);
 	if (document.kind === 'invalid') {
-		throw new Error(document.problems.map(problem => describeProblem(file, problem)).join('\n'));
+		throw new Error(document.problems.map(problem => formatProblem(file, problem)).join('\n'));
 	}
 
 	return document.value;
--- a/src/entries/daemon/main.ts
+++ b/src/entries/daemon/main.ts
@@ -4,9 +4,9 @@
 import process from 'node:process';
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
-import {describeProblem} from '../../runtime/settings/describe-problem.js';
+import {formatProblem} from '../../runtime/settings/format-problem.js';
 import {entrySettingsSchema} from '../../runtime/settings/entry-settings.js';
-import {readDocument} from '../../runtime/settings/read-document.js';
+import {parseDocument} from '../../runtime/settings/parse-document.js';
 import {version} from '../version.js';
 import {Daemon} from './daemon.js';
 
@@ -28,10 +28,10 @@
 	})
 	.parseSync();
 
-const document = readDocument(textOf(options.settings), entrySettingsSchema);
+const document = parseDocument(textOf(options.settings), entrySettingsSchema);
 if (document.kind === 'invalid') {
 	for (const problem of document.problems) {
-		process.stderr.write(`savorylockd: ${describeProblem(options.settings, problem)}\n`);
+		process.stderr.write(`savorylockd: ${formatProblem(options.settings, problem)}\n`);
 	}
 
 	process.exit(exitSettings);
--- a/src/entries/daemon/wiring.ts
+++ b/src/entries/daemon/wiring.ts
@@ -19,7 +19,7 @@
 import {DebugJournal} from '../../runtime/journal/debug-journal.js';
 import {Kernel} from '../../runtime/kernel/kernel.js';
 import {ServiceContainer} from '../../runtime/kernel/service-container.js';
-import {SilentMetrics} from '../../runtime/metrics/silent-metrics.js';
+import {NoopMetrics} from '../../runtime/metrics/noop-metrics.js';
 import {StatsdMetrics} from '../../runtime/metrics/statsd-metrics.js';
 import type {PeerTransport} from '../../runtime/peers/peer-transport.js';
 import {TcpPeerNetwork} from '../../runtime/peers/tcp-peer-network.js';
@@ -27,7 +27,7 @@
 import {TlsTransport} from '../../runtime/peers/tls-transport.js';
 import {runtimeKeys} from '../../runtime/runtime-keys.js';
 import type {Settings} from '../../runtime/settings/settings.js';
-import {HttpStreamSource} from '../../runtime/stream/http-stream-source.js';
+import {HttpLogClient} from '../../runtime/stream/http-log-client.js';
 import {HttpTargetDriver} from '../../runtime/targets/http-target-driver.js';
 
 /** A daemon's services, and the means to end them all. */
@@ -54,7 +54,7 @@
 	services.provide(runtimeKeys.metrics, metricsOf(settings, store));
 	services.provide(runtimeKeys.instanceList, list);
 	services.provide(runtimeKeys.peerNetwork, network);
-	services.provide(runtimeKeys.streams, new HttpStreamSource(platform.logUrl));
+	services.provide(runtimeKeys.logClient, new HttpLogClient(platform.logUrl));
 	services.provide(runtimeKeys.targetDriver, store.add(new HttpTargetDriver(limits.answerBytes)));
 	services.provide(statusReportKey, new StatusReport());
 	services.provide(readinessKey, new Readiness());
@@ -84,5 +84,5 @@
 
 function metricsOf(settings: Settings, store: DisposableStore) {
 	const {statsdHost, statsdPort} = settings.platform;
-	return statsdHost === undefined ? new SilentMetrics() : store.add(new StatsdMetrics(statsdHost, statsdPort, settings.entry.zone));
+	return statsdHost === undefined ? new NoopMetrics() : store.add(new StatsdMetrics(statsdHost, statsdPort, settings.entry.zone));
 }
--- a/src/entries/edge/main.ts
+++ b/src/entries/edge/main.ts
@@ -11,7 +11,7 @@
 import {readBootSettings} from '../../../platform/read-boot-settings.js';
 import {SystemClock} from '../../base/system-clock.js';
 import {CountingJournal} from '../../runtime/journal/counting-journal.js';
-import {LineJournal} from '../../runtime/journal/line-journal.js';
+import {JsonLinesJournal} from '../../runtime/journal/json-lines-journal.js';
 import {TextMetrics} from '../../runtime/metrics/text-metrics.js';
 import {EdgeDaemon} from './edge-daemon.js';
 
@@ -21,7 +21,7 @@
 
 const clock = new SystemClock();
 const metrics = new TextMetrics();
-const lines = new LineJournal(clock, true);
+const lines = new JsonLinesJournal(clock, true);
 const journal = new CountingJournal(lines, metrics);
 const file = process.env[settingsVariable] ?? '';
 const settings = readSettings();
--- a/src/entries/edge/pooled-entry.ts
+++ b/src/entries/edge/pooled-entry.ts
@@ -24,7 +24,7 @@
 import type {TargetOrders} from '../../features/targets/target-orders.js';
 import type {ZoneEvacuations} from '../../features/targets/zone-evacuations.js';
 import type {Journal} from '../../runtime/journal/journal.js';
-import {PauseWatch} from '../../runtime/pause-watch.js';
+import {PauseDetector} from '../../runtime/pause-detector.js';
 import type {PeerNetwork} from '../../runtime/peers/peer-network.js';
 
 /** How long the pool may take to form before a zone without an entry is taken as such. */
@@ -55,7 +55,7 @@
 	readonly pool: Pool;
 	readonly dispatcher: Dispatcher;
 	readonly patience = new CallerTimeouts();
-	readonly pauses: PauseWatch;
+	readonly pauses: PauseDetector;
 	readonly #store = new DisposableStore();
 	readonly #losses: LossHistory;
 	#isLeaving = false;
@@ -64,7 +64,7 @@
 		const {zone, member, leaseMilliseconds, network, group, catalogue, evacuations, orders, clock, journal} = parts;
 		const own = this.#store;
 		this.#losses = new LossHistory(clock, journal);
-		this.pauses = own.add(new PauseWatch(clock));
+		this.pauses = own.add(new PauseDetector(clock));
 		this.executor = own.add(new Executor({
 			leaseMilliseconds, orders, health: new TargetHealth(journal), losses: this.#losses, clock, journal,
 		}));
@@ -124,13 +124,13 @@
 		const {routing} = this.parts;
 		const own = this.#store;
 		own.add(this.executor.onDidCompareClocks(uncounted => {
-			this.pauses.noteUncounted(uncounted);
+			this.pauses.reportClockGap(uncounted);
 		}));
 		own.add(this.pauses.onDidPause(pause => {
 			this.#verify(pause.milliseconds);
 		}));
 		own.add(this.pool.onDidDetectEviction(() => {
-			this.pauses.doubt();
+			this.pauses.suspectPause();
 			this.executor.pollTargets();
 		}));
 		own.add(this.executor.onDidChangeFreeCapacity(() => {
@@ -166,7 +166,7 @@
 	#verify(milliseconds: number): void {
 		this.executor.pollTargets();
 		if (this.executor.ownedTargets === 0) {
-			this.pauses.noteUncounted({milliseconds, since: this.parts.clock.now()});
+			this.pauses.reportClockGap({milliseconds, since: this.parts.clock.now()});
 		}
 	}
 
--- a/src/features/dispatch/dispatcher.ts
+++ b/src/features/dispatch/dispatcher.ts
@@ -9,7 +9,7 @@
 import type {Random} from '../../base/random.js';
 import type {Verdict} from '../../base/verdict.js';
 import type {Journal} from '../../runtime/journal/journal.js';
-import type {PauseWatch} from '../../runtime/pause-watch.js';
+import type {PauseDetector} from '../../runtime/pause-detector.js';
 import type {Handover} from '../execution/handover.js';
 import type {Executor} from '../execution/executor.js';
 import type {LossHistory} from '../execution/loss-history.js';
@@ -41,7 +41,7 @@
 	readonly runTimes: MeanRunTimes;
 	readonly timeouts: CallerTimeouts;
 	readonly losses: LossHistory;
-	readonly pauses: PauseWatch;
+	readonly pauses: PauseDetector;
 	readonly random: Random;
 	readonly clock: Clock;
 	readonly journal: Journal;
@@ -199,8 +199,8 @@
 	/** Runs a placement pass, unless the process has just resumed from a pause. */
 	#placeWaiting(): void {
 		const {pauses} = this.dependencies;
-		pauses.look();
-		if (pauses.isWaking) {
+		pauses.check();
+		if (pauses.isResuming) {
 			void this.#placeAfterPause();
 			return;
 		}
@@ -216,7 +216,7 @@
 
 	/** Waits for messages that arrived during a pause: the tasks may have been started elsewhere. */
 	async #placeAfterPause(): Promise<void> {
-		await this.dependencies.pauses.whenAwake();
+		await this.dependencies.pauses.whenResumed();
 		this.#schedulePlacement();
 	}
 
--- a/src/features/execution/executor.ts
+++ b/src/features/execution/executor.ts
@@ -8,7 +8,7 @@
 import type {TaskId} from '../../base/task-id.js';
 import {wait} from '../../base/wait.js';
 import type {Journal} from '../../runtime/journal/journal.js';
-import type {UncountedTime} from '../../runtime/uncounted-time.js';
+import type {ClockGap} from '../../runtime/clock-gap.js';
 import type {TargetHealth} from '../placement/target-health.js';
 import type {TargetOrders} from '../targets/target-orders.js';
 import {chooseTarget} from './choose-target.js';
@@ -42,7 +42,7 @@
 	readonly #sessions: TargetSessions;
 	readonly #reported = new Emitter<ExecutionReport>();
 	readonly #changed = new Emitter<void>();
-	readonly #clocksCompared = new Emitter<UncountedTime>();
+	readonly #clocksCompared = new Emitter<ClockGap>();
 
 	constructor(private readonly parts: ExecutorParts) {
 		this.#sessions = new TargetSessions({
--- a/src/features/execution/lease-schedule.ts
+++ b/src/features/execution/lease-schedule.ts
@@ -1,6 +1,6 @@
 /** The lease of the runs on one target. */
 import type {TargetTime} from '../../base/target-time.js';
-import type {UncountedTime} from '../../runtime/uncounted-time.js';
+import type {ClockGap} from '../../runtime/clock-gap.js';
 
 /** Maximum rate by which a target's clock may be slower than ours, as specified by the platform. */
 const clockDrift = 0.02;
@@ -26,7 +26,7 @@
 	 * Returns by how much the target's clock advanced more than ours since one of its latest answers: the length of a suspension
 	 * that our clock doesn't count. Undefined without earlier answers.
 	 */
-	detectSuspension(clock: TargetTime, receivedAt: number): UncountedTime | undefined {
+	detectSuspension(clock: TargetTime, receivedAt: number): ClockGap | undefined {
 		const offset = clock - receivedAt;
 		const [smallest] = this.#clockOffsets.toSorted((left, right) => left.offset - right.offset);
 		return smallest === undefined ? undefined : {milliseconds: offset - smallest.offset, since: smallest.at};
--- a/src/features/execution/session-listener.ts
+++ b/src/features/execution/session-listener.ts
@@ -1,7 +1,7 @@
 /** Events of a target's session. */
 import type {Incarnation} from '../../base/incarnation.js';
 import type {TaskId} from '../../base/task-id.js';
-import type {UncountedTime} from '../../runtime/uncounted-time.js';
+import type {ClockGap} from '../../runtime/clock-gap.js';
 import type {Run} from './run.js';
 import type {RunOutcome} from './run-outcome.js';
 
@@ -17,7 +17,7 @@
 	/** The target answers for the first time, again, or as another incarnation. */
 	readonly onDidAnswer: (incarnation: Incarnation | undefined) => void;
 	/** The target's clock advanced by this much more than this entry's. */
-	readonly onDidCompareClocks: (uncounted: UncountedTime) => void;
+	readonly onDidCompareClocks: (uncounted: ClockGap) => void;
 	/** Free capacity, health or reachability may have changed. */
 	readonly onDidChange: () => void;
 	/** The session has ended: another owner has the target, or its incarnation is over. Runs on a fenced target end with their lease. */
--- a/src/features/execution/target-sessions.ts
+++ b/src/features/execution/target-sessions.ts
@@ -5,7 +5,7 @@
 import type {FencingToken} from '../../base/fencing-token.js';
 import type {InstanceId} from '../../base/instance-id.js';
 import type {Journal} from '../../runtime/journal/journal.js';
-import type {UncountedTime} from '../../runtime/uncounted-time.js';
+import type {ClockGap} from '../../runtime/clock-gap.js';
 import type {TargetHealth} from '../placement/target-health.js';
 import type {TargetOrders} from '../targets/target-orders.js';
 import type {TargetRecord} from '../targets/target-record.js';
@@ -37,7 +37,7 @@
 		/** Called after each report of a target. */
 		readonly onDidReport: (session: TargetSession) => void;
 		/** Called with the time by which a target's clock advanced more than this entry's. */
-		readonly onDidCompareClocks: (uncounted: UncountedTime) => void;
+		readonly onDidCompareClocks: (uncounted: ClockGap) => void;
 		/** Called when free capacity may have grown. */
 		readonly onDidChange: () => void;
 	};
--- a/src/features/membership/instance-list-membership.ts
+++ b/src/features/membership/instance-list-membership.ts
@@ -54,13 +54,13 @@
 		private readonly journal: Journal,
 	) {
 		super();
-		this.#store.add(network.onDidMeet(member => {
+		this.#store.add(network.onDidDiscover(member => {
 			this.#addMember(member);
 		}));
-		this.#store.add(network.onDidProveDead(id => {
+		this.#store.add(network.onDidConfirmDeath(id => {
 			this.#removeMember(id, 'dead');
 		}));
-		this.#store.add(network.onDidRefuse(address => {
+		this.#store.add(network.onDidRefuseConnection(address => {
 			this.#refusedAddresses.add(address);
 		}));
 		this.#store.add(network.onDidReceive(({from, message}) => {
@@ -118,23 +118,23 @@
 			return unansweredSince !== undefined && this.clock.now() - unansweredSince > unresponsiveMilliseconds;
 		}
 
-		const heardAt = this.network.lastHeard(member) ?? this.#metAt.get(member);
+		const heardAt = this.network.lastReceivedAt(member) ?? this.#metAt.get(member);
 		return heardAt === undefined || this.clock.now() - heardAt > unresponsiveMilliseconds;
 	}
 
 	override millisecondsSinceHeard(member: MemberId): number | undefined {
-		const heardAt = this.network.lastHeard(member);
+		const heardAt = this.network.lastReceivedAt(member);
 		const ago = heardAt === undefined ? undefined : this.clock.now() - heardAt;
 		return ago !== undefined && ago < lastHeardLimitMilliseconds ? ago : undefined;
 	}
 
 	override isRoundTripOverdue(member: MemberId): boolean {
-		const reachedAt = this.network.lastReached(member) ?? this.#metAt.get(member);
+		const reachedAt = this.network.lastAcknowledgedAt(member) ?? this.#metAt.get(member);
 		return reachedAt === undefined || this.clock.now() - reachedAt >= unresponsiveMilliseconds;
 	}
 
 	override lastRoundTripAt(member: MemberId): number | undefined {
-		return this.network.lastReached(member);
+		return this.network.lastAcknowledgedAt(member);
 	}
 
 	override announceLeave(): void {
@@ -183,7 +183,7 @@
 
 		const addresses = new Set(this.#listed.flatMap(({peerAddress}) => peerAddress ?? []));
 		addresses.delete(this.self.peerAddress);
-		this.network.meet(addresses);
+		this.network.discover(addresses);
 		this.#updateWatched();
 		this.#removeDelisted(addresses);
 	}
@@ -198,7 +198,7 @@
 
 			const delistedAt = this.#delistedAt.get(member.id) ?? now;
 			this.#delistedAt.set(member.id, delistedAt);
-			const heardAt = this.network.lastHeard(member.id) ?? this.#metAt.get(member.id) ?? 0;
+			const heardAt = this.network.lastReceivedAt(member.id) ?? this.#metAt.get(member.id) ?? 0;
 			if (now - Math.max(heardAt, delistedAt) > delistedMilliseconds) {
 				this.#removeMember(member.id, 'dead');
 			}
@@ -209,6 +209,6 @@
 	#updateWatched(): void {
 		const inZone = this.peers.filter(member => member.zone === this.self.zone);
 		const watched = rankByKey(this.self.instance, inZone, member => member.instance).slice(0, watchedInZone);
-		this.network.watch(new Set(watched.map(member => member.peerAddress)));
+		this.network.monitor(new Set(watched.map(member => member.peerAddress)));
 	}
 }
--- a/src/features/pool/pool-connections.ts
+++ b/src/features/pool/pool-connections.ts
@@ -97,7 +97,7 @@
 		const watched = new Set([...this.#neighbours.choose(met), ...met].filter(address => !inactive.has(address)));
 		if (!areEqual(watched, this.#watched)) {
 			this.#watched = watched;
-			this.parts.network.watch(watched);
+			this.parts.network.monitor(watched);
 		}
 	}
 
--- a/src/features/pool/pool-parts.ts
+++ b/src/features/pool/pool-parts.ts
@@ -2,7 +2,7 @@
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {Journal} from '../../runtime/journal/journal.js';
-import type {PauseWatch} from '../../runtime/pause-watch.js';
+import type {PauseDetector} from '../../runtime/pause-detector.js';
 import type {PeerNetwork} from '../../runtime/peers/peer-network.js';
 import type {NodeState} from './node-state.js';
 
@@ -12,7 +12,7 @@
 	readonly ownState: () => NodeState;
 	/** Peers that run tasks for this node, or that this node runs tasks for. */
 	readonly peersInUse: () => ReadonlySet<MemberId>;
-	readonly pauses: PauseWatch;
+	readonly pauses: PauseDetector;
 	readonly clock: Clock;
 	readonly journal: Journal;
 };
--- a/src/features/pool/pool.ts
+++ b/src/features/pool/pool.ts
@@ -67,7 +67,7 @@
 		this.#store.add(parts.pauses.onDidPause(pause => {
 			this.#handlePause(pause);
 		}));
-		this.#store.add(parts.pauses.onDidStandStill(milliseconds => {
+		this.#store.add(parts.pauses.onDidConfirmPause(milliseconds => {
 			this.#handleStall(milliseconds);
 		}));
 		this.#store.add(network.onDidReceive(({from, message}) => {
@@ -75,13 +75,13 @@
 				this.#receive(from, message.body);
 			}
 		}));
-		this.#store.add(network.onDidMeet(member => {
+		this.#store.add(network.onDidDiscover(member => {
 			this.#addMember(member);
 		}));
 		this.#store.add(network.onDidReconnect(member => {
 			this.#reconnect.fire(member.id);
 		}));
-		this.#store.add(network.onDidProveDead(id => {
+		this.#store.add(network.onDidConfirmDeath(id => {
 			this.#drop(id, 'its port refuses connections or a newer incarnation answers there');
 		}));
 	}
@@ -138,7 +138,7 @@
 
 	start(): void {
 		this.#store.add(repeat(this.parts.clock, checkMilliseconds, () => {
-			this.parts.pauses.look();
+			this.parts.pauses.check();
 			this.#connections.update();
 			this.#dropUnresponsive();
 			this.#broadcaster.sendHeartbeats(checkMilliseconds / 2);
@@ -252,7 +252,7 @@
 	}
 
 	#receive(from: Member, body: unknown): void {
-		this.parts.pauses.look();
+		this.parts.pauses.check();
 		const frame = this.#decode(from, body);
 		if (frame === undefined) {
 			return;
@@ -337,7 +337,7 @@
 	 * Adds time that this node's clock didn't count to the silence of the peers. Each peer then has until its next heartbeat to be
 	 * heard: earlier ones may still be unread, or the system time may just have been set.
 	 */
-	#handlePause({milliseconds, counted}: Pause): void {
+	#handlePause({milliseconds, monotonicMilliseconds: counted}: Pause): void {
 		const now = this.parts.clock.now();
 		for (const known of this.#members.values()) {
 			const {timeoutMilliseconds, periodMilliseconds} = known.expectedTiming;
--- a/src/features/profiles/profiles.contribution.ts
+++ b/src/features/profiles/profiles.contribution.ts
@@ -17,7 +17,7 @@
 
 	override activate(services: ServiceContainer, store: DisposableStore): void {
 		const profileService = store.add(new ReplicatedProfileService({
-			stream: services.get(runtimeKeys.streams).open(streamName),
+			stream: services.get(runtimeKeys.logClient).open(streamName),
 			network: services.get(runtimeKeys.peerNetwork),
 			membership: services.get(membershipKey),
 			clock: services.get(runtimeKeys.clock),
@@ -27,7 +27,7 @@
 		services.provide(profileServiceKey, profileService);
 		const snapshotWriter = store.add(new SnapshotWriter({
 			profileService,
-			stream: services.get(runtimeKeys.streams).open(streamName),
+			stream: services.get(runtimeKeys.logClient).open(streamName),
 			clock: services.get(runtimeKeys.clock),
 			random: services.get(runtimeKeys.random),
 			journal: services.get(runtimeKeys.journal),
--- a/src/features/submissions/submissions.contribution.ts
+++ b/src/features/submissions/submissions.contribution.ts
@@ -24,7 +24,7 @@
 			settings,
 			network: services.get(runtimeKeys.peerNetwork),
 			membership: services.get(membershipKey),
-			zoneHistory: new ZoneHistory(services.get(runtimeKeys.streams).open(birthsStreamName), clock),
+			zoneHistory: new ZoneHistory(services.get(runtimeKeys.logClient).open(birthsStreamName), clock),
 			clock,
 			journal: services.get(runtimeKeys.journal),
 		}));
--- a/src/runtime/uncounted-time.ts
+++ b/src/runtime/clock-gap.ts
@@ -1,4 +1,4 @@
 /** Time that another machine's steady clock counted and this one's did not. */
 
 /** `since` is the monotonic time from which on the two were compared. */
-export type UncountedTime = {readonly milliseconds: number; readonly since: number};
+export type ClockGap = {readonly milliseconds: number; readonly since: number};
--- a/src/runtime/journal/line-journal.ts
+++ b/src/runtime/journal/json-lines-journal.ts
@@ -16,7 +16,7 @@
  * Writes one JSON object a line: monotonic and wall time in milliseconds, number, name, fields. Writing happens beside the
  * event loop, one write at a time.
  */
-export class LineJournal extends Journal {
+export class JsonLinesJournal extends Journal {
 	#lines: string[] = [];
 	#bytes = 0;
 	#dropped = 0;
--- a/src/runtime/metrics/silent-metrics.ts
+++ b/src/runtime/metrics/noop-metrics.ts
@@ -2,7 +2,7 @@
 import {Metrics} from './metrics.js';
 
 /** Drops everything. */
-export class SilentMetrics extends Metrics {
+export class NoopMetrics extends Metrics {
 	override count(): void {
 		// Nobody listens.
 	}
--- a/src/runtime/pause-watch.ts
+++ b/src/runtime/pause-detector.ts
@@ -5,7 +5,7 @@
 import {repeat} from '../base/repeat.js';
 import {wait} from '../base/wait.js';
 import type {Pause} from './pause.js';
-import type {UncountedTime} from './uncounted-time.js';
+import type {ClockGap} from './clock-gap.js';
 
 const checkMilliseconds = 100;
 /** Callers submit elsewhere no sooner after a loss. */
@@ -21,7 +21,7 @@
  * shows the gap; a stopped process shows it on both. A time of day that was set forward looks the same as a suspension, and
  * listeners have to take that well: the event says that something may have been missed, not that it was.
  */
-export class PauseWatch implements Disposable {
+export class PauseDetector implements Disposable {
 	readonly #pause = new Emitter<Pause>();
 	readonly #standstill = new Emitter<number>();
 	readonly #timer: Disposable;
@@ -34,12 +34,12 @@
 		this.#steady = clock.now();
 		this.#wall = clock.wallTime();
 		this.#timer = repeat(clock, checkMilliseconds, () => {
-			this.look();
+			this.check();
 		});
 	}
 
 	/** Whether the process may just have stood still: what it believes isn't to be acted on. */
-	get isWaking(): boolean {
+	get isResuming(): boolean {
 		return this.clock.now() < this.#wokeAt + wakingMilliseconds;
 	}
 
@@ -49,12 +49,12 @@
 	}
 
 	/** Fires where a pause is certain, and as long as that others have gone on without this process; before anything that follows. */
-	get onDidStandStill() {
+	get onDidConfirmPause() {
 		return this.#standstill.event;
 	}
 
 	/** Compares the clocks now: after a pause messages may be read before the timer has fired. */
-	look(): void {
+	check(): void {
 		const now = this.clock.now();
 		const wall = this.clock.wallTime();
 		const counted = now - this.#steady;
@@ -63,7 +63,7 @@
 		this.#wall = wall;
 		if (elapsed > pauseMilliseconds) {
 			this.#wokeAt = now;
-			this.#pause.fire({milliseconds: elapsed, counted});
+			this.#pause.fire({milliseconds: elapsed, monotonicMilliseconds: counted});
 		}
 
 		if (counted > resubmissionMilliseconds) {
@@ -72,12 +72,12 @@
 	}
 
 	/** Others say that this process was gone: until it's known better it may have stood still. */
-	doubt(): void {
+	suspectPause(): void {
 		this.#wokeAt = this.clock.now();
 	}
 
 	/** Takes how another machine's steady clock compares; several of them show the same pause. */
-	noteUncounted({milliseconds, since}: UncountedTime): void {
+	reportClockGap({milliseconds, since}: ClockGap): void {
 		if (milliseconds > resubmissionMilliseconds && since > this.#stoodStillAt) {
 			this.#standStill(milliseconds);
 		}
@@ -87,8 +87,8 @@
 	 * Resolves at once, but some time after a pause. What is read just after a pause may have been sent long before: whoever
 	 * sent it may have given up since, which shows when the end of the connection is read as well.
 	 */
-	async whenAwake(): Promise<void> {
-		this.look();
+	async whenResumed(): Promise<void> {
+		this.check();
 		const left = this.#wokeAt + wakingMilliseconds - this.clock.now();
 		if (left > 0) {
 			await wait(this.clock, left);
--- a/src/runtime/peers/peer-network.ts
+++ b/src/runtime/peers/peer-network.ts
@@ -19,13 +19,13 @@
 	abstract readonly onDidReceive: Event<ReceivedMessage>;
 
 	/** Fires when a handshake shows a life that wasn't known before. */
-	abstract readonly onDidMeet: Event<Member>;
+	abstract readonly onDidDiscover: Event<Member>;
 
 	/** Fires when a member is proved gone: its port refuses connections, or a newer life answers there. */
-	abstract readonly onDidProveDead: Event<MemberId>;
+	abstract readonly onDidConfirmDeath: Event<MemberId>;
 
 	/** Fires when a listed address refuses connections although no member was ever met there. */
-	abstract readonly onDidRefuse: Event<string>;
+	abstract readonly onDidRefuseConnection: Event<string>;
 
 	/** Fires when a connection to a known member is made anew: what was under way on the old one may be lost. */
 	abstract readonly onDidReconnect: Event<Member>;
@@ -33,20 +33,20 @@
 	abstract send(to: Member, message: PeerMessage): void;
 
 	/** Keeps connections to exactly these peer addresses open and checked by pings, besides those in use. */
-	abstract watch(peerAddresses: ReadonlySet<string>): void;
+	abstract monitor(peerAddresses: ReadonlySet<string>): void;
 
 	/** Dials these peer addresses once, so that their members are met; costs nothing while they aren't used. */
-	abstract meet(peerAddresses: ReadonlySet<string>): void;
+	abstract discover(peerAddresses: ReadonlySet<string>): void;
 
 	/** Monotonic time of the last sign of life from a member; none if it never gave one. */
-	abstract lastHeard(member: MemberId): number | undefined;
+	abstract lastReceivedAt(member: MemberId): number | undefined;
 
 	/** Since when messages to a member wait for any sign of life from it; none where one came after the latest. */
 	abstract unansweredSince(member: MemberId): number | undefined;
 
 	/** When something was sent last that a member answered: it heard of this entry then, or later. Monotonic. */
-	abstract lastReached(member: MemberId): number | undefined;
+	abstract lastAcknowledgedAt(member: MemberId): number | undefined;
 
 	/** Takes a new life: peers see the present one as gone. */
-	abstract renew(): void;
+	abstract renewIncarnation(): void;
 }
--- a/src/runtime/peers/tcp-peer-network.ts
+++ b/src/runtime/peers/tcp-peer-network.ts
@@ -102,15 +102,15 @@
 		return this.#receive.event;
 	}
 
-	override get onDidMeet() {
+	override get onDidDiscover() {
 		return this.#meet.event;
 	}
 
-	override get onDidProveDead() {
+	override get onDidConfirmDeath() {
 		return this.#proveDead.event;
 	}
 
-	override get onDidRefuse() {
+	override get onDidRefuseConnection() {
 		return this.#refuse.event;
 	}
 
@@ -131,7 +131,7 @@
 		this.#linkTo(to.peerAddress).send(to.id, message);
 	}
 
-	override watch(peerAddresses: ReadonlySet<string>): void {
+	override monitor(peerAddresses: ReadonlySet<string>): void {
 		this.#watched = peerAddresses;
 		for (const [address, link] of this.#links) {
 			link.isWatched = peerAddresses.has(address);
@@ -147,14 +147,14 @@
 		}
 	}
 
-	override meet(peerAddresses: ReadonlySet<string>): void {
+	override discover(peerAddresses: ReadonlySet<string>): void {
 		for (const address of peerAddresses) {
 			this.#sought.add(address);
 			this.#linkTo(address);
 		}
 	}
 
-	override lastHeard(member: MemberId): number | undefined {
+	override lastReceivedAt(member: MemberId): number | undefined {
 		return this.#heard.get(member);
 	}
 
@@ -162,14 +162,14 @@
 		return this.#unanswered.get(member);
 	}
 
-	override lastReached(member: MemberId): number | undefined {
+	override lastAcknowledgedAt(member: MemberId): number | undefined {
 		return this.#reached.get(member);
 	}
 
-	override renew(): void {
+	override renewIncarnation(): void {
 		this.#self = this.#newLife(this.port);
 		this.#disconnect();
-		this.watch(this.#watched);
+		this.monitor(this.#watched);
 	}
 
 	dispose(): void {
--- a/src/runtime/runtime-keys.ts
+++ b/src/runtime/runtime-keys.ts
@@ -7,7 +7,7 @@
 import type {Metrics} from './metrics/metrics.js';
 import type {PeerNetwork} from './peers/peer-network.js';
 import type {Settings} from './settings/settings.js';
-import type {StreamSource} from './stream/stream-source.js';
+import type {LogClient} from './stream/log-client.js';
 import type {TargetDriver} from './targets/target-driver.js';
 
 /** Provided by the wiring module before any contribution is activated. */
@@ -19,6 +19,6 @@
 	metrics: new ServiceKey<Metrics>('metrics'),
 	instanceList: new ServiceKey<InstanceList>('instance-list'),
 	peerNetwork: new ServiceKey<PeerNetwork>('peer-network'),
-	streams: new ServiceKey<StreamSource>('streams'),
+	logClient: new ServiceKey<LogClient>('log-client'),
 	targetDriver: new ServiceKey<TargetDriver>('target-driver'),
 };
--- a/src/runtime/settings/read-document.ts
+++ b/src/runtime/settings/parse-document.ts
@@ -5,7 +5,7 @@
 import type {SettingsProblem} from './settings-problem.js';
 
 /** Parses and checks; finds each wrong key's line by its name, which TOML parsers don't keep. */
-export function readDocument<Schema extends z.ZodType>(text: string, schema: Schema): CheckedDocument<z.output<Schema>> {
+export function parseDocument<Schema extends z.ZodType>(text: string, schema: Schema): CheckedDocument<z.output<Schema>> {
 	let raw: unknown;
 	try {
 		raw = parse(text);
--- a/src/runtime/stream/http-stream-source.ts
+++ b/src/runtime/stream/http-log-client.ts
@@ -1,10 +1,10 @@
 /** Streams of the log service over HTTP. */
 import {HttpLogStream} from './http-log-stream.js';
 import type {LogStream} from './log-stream.js';
-import {StreamSource} from './stream-source.js';
+import {LogClient} from './log-client.js';
 
 /** Opens streams at one log service. */
-export class HttpStreamSource extends StreamSource {
+export class HttpLogClient extends LogClient {
 	constructor(private readonly baseUrl: string) {
 		super();
 	}
--- a/src/runtime/stream/stream-source.ts
+++ b/src/runtime/stream/log-client.ts
@@ -2,6 +2,6 @@
 import type {LogStream} from './log-stream.js';
 
 /** One stream for each name. */
-export abstract class StreamSource {
+export abstract class LogClient {
 	abstract open(name: string): LogStream;
 }
--- a/src/runtime/targets/http-target-driver.ts
+++ b/src/runtime/targets/http-target-driver.ts
@@ -11,7 +11,7 @@
 import type {TargetAddress} from './target-address.js';
 import {TargetDriver} from './target-driver.js';
 import type {TargetUsage} from './target-usage.js';
-import type {TaskOrder} from './task-order.js';
+import type {TaskRequest} from './task-request.js';
 
 /** At most so many connections from one entry to one target; all entries together stay under the target's own 64. */
 const connectionsPerTarget = 8;
@@ -45,7 +45,7 @@
 		super();
 	}
 
-	override async run(target: TargetAddress, order: TaskOrder, token: CancellationToken): Promise<TaskVerdict> {
+	override async run(target: TargetAddress, order: TaskRequest, token: CancellationToken): Promise<TaskVerdict> {
 		const controller = new AbortController();
 		const limit = setTimeout(() => {
 			controller.abort();
@@ -118,7 +118,7 @@
 		return pool;
 	}
 
-	async #verdictOf(response: Dispatcher.ResponseData, order: TaskOrder): Promise<TaskVerdict> {
+	async #verdictOf(response: Dispatcher.ResponseData, order: TaskRequest): Promise<TaskVerdict> {
 		// An answer that carries another task's id was crossed with it: it's dropped with its connection, since
 		// whatever follows on that connection can't be trusted either.
 		if (response.headers['task-id'] !== order.taskId) {
@@ -171,7 +171,7 @@
 	}
 }
 
-function requestOf(order: TaskOrder, signal: AbortSignal): Dispatcher.RequestOptions {
+function requestOf(order: TaskRequest, signal: AbortSignal): Dispatcher.RequestOptions {
 	return {
 		method: 'POST',
 		path: '/v1/tasks',
--- a/test/features/pool/pool.test.ts
+++ b/test/features/pool/pool.test.ts
@@ -6,7 +6,7 @@
 import type {ServiceName} from '../../../src/base/service-name.js';
 import {decodeFrame} from '../../../src/features/pool/decode-frame.js';
 import {Pool} from '../../../src/features/pool/pool.js';
-import {PauseWatch} from '../../../src/runtime/pause-watch.js';
+import {PauseDetector} from '../../../src/runtime/pause-detector.js';
 import type {PeerMessage} from '../../../src/runtime/peers/peer-message.js';
 import {FakeClock} from '../../support/fake-clock.js';
 import {ModelNetwork} from '../../support/model-network.js';
@@ -49,7 +49,7 @@
 			freeCapacity: Array.from({length: targets}, () => ({service, labels: [], room: need})),
 		}),
 		peersInUse: () => usesPeers(index) ? inUse : new Set(),
-		pauses: new PauseWatch(clock),
+		pauses: new PauseDetector(clock),
 		clock,
 		journal: new RecordingJournal(),
 	}));
--- a/test/platform/job-front-hang-ups.test.ts
+++ b/test/platform/job-front-hang-ups.test.ts
@@ -8,7 +8,7 @@
 import type {ProfileName} from '../../src/base/profile-name.js';
 import type {ServiceName} from '../../src/base/service-name.js';
 import {RoutingTable} from '../../src/features/routing/routing-table.js';
-import {PauseWatch} from '../../src/runtime/pause-watch.js';
+import {PauseDetector} from '../../src/runtime/pause-detector.js';
 import {passTime} from '../support/pass-time.js';
 import {PooledWorld} from '../support/pooled-world.js';
 import {until} from '../support/until.js';
@@ -22,12 +22,12 @@
 /** Sends all at once and ends, in a process of its own while this one stands still. */
 const hangUp = 'const socket = require("node:net").connect(process.argv[1], "127.0.0.1"); socket.on("finish", () => process.exit()); socket.end(process.argv[2])';
 
-class CountingPauses extends PauseWatch {
+class CountingPauses extends PauseDetector {
 	calls = 0;
 
-	override async whenAwake(): Promise<void> {
+	override async whenResumed(): Promise<void> {
 		this.calls += 1;
-		return super.whenAwake();
+		return super.whenResumed();
 	}
 }
 
--- a/test/platform/job-front.test.ts
+++ b/test/platform/job-front.test.ts
@@ -6,7 +6,7 @@
 import type {ProfileName} from '../../src/base/profile-name.js';
 import type {ServiceName} from '../../src/base/service-name.js';
 import {RoutingTable} from '../../src/features/routing/routing-table.js';
-import {PauseWatch} from '../../src/runtime/pause-watch.js';
+import {PauseDetector} from '../../src/runtime/pause-detector.js';
 import {passTime} from '../support/pass-time.js';
 import {PooledWorld} from '../support/pooled-world.js';
 import {snapshotsOf} from '../support/snapshots.js';
@@ -21,7 +21,7 @@
 	const world = new PooledWorld(['a-1'], 2);
 	await world.start();
 	const routing = new RoutingTable(1500, world.clock, world.journal);
-	const pauses = new PauseWatch(world.clock);
+	const pauses = new PauseDetector(world.clock);
 	const front = new JobFront({
 		dispatcher: world.entries.get('a-1')!.dispatcher, routing, pauses, farFactor: 3, journal: world.journal,
 	});
--- a/test/runtime/pause-watch.test.ts
+++ b/test/runtime/pause-detector.test.ts
@@ -1,12 +1,12 @@
 /** Pauses, as the two clocks show them. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {PauseWatch} from '../../src/runtime/pause-watch.js';
+import {PauseDetector} from '../../src/runtime/pause-detector.js';
 import {FakeClock} from '../support/fake-clock.js';
 
 test('a process that was stopped notices it when it goes on, and a process that runs notices nothing', () => {
 	const clock = new FakeClock();
-	const watch = new PauseWatch(clock);
+	const watch = new PauseDetector(clock);
 	const pauses: number[] = [];
 	watch.onDidPause(({milliseconds}) => {
 		pauses.push(milliseconds);
@@ -23,7 +23,7 @@
 // shows that it was away.
 test('a suspension shows on the time of day alone', () => {
 	const clock = new FakeClock();
-	const watch = new PauseWatch(clock);
+	const watch = new PauseDetector(clock);
 	const pauses: number[] = [];
 	watch.onDidPause(({milliseconds}) => {
 		pauses.push(milliseconds);
@@ -38,10 +38,10 @@
 // caller has submitted the job to another entry since: begun at once, its tasks would run twice at a time.
 test('what is read just after a pause has to wait, whether the timer has fired or not', async () => {
 	const clock = new FakeClock();
-	const watch = new PauseWatch(clock);
+	const watch = new PauseDetector(clock);
 	const passed: string[] = [];
 	const read = async (name: string) => {
-		await watch.whenAwake();
+		await watch.whenResumed();
 		passed.push(name);
 	};
 
@@ -56,9 +56,9 @@
 	assert.deepEqual(passed, ['before', 'after', 'later']);
 });
 
-function standstillsOf(watch: PauseWatch): number[] {
+function standstillsOf(watch: PauseDetector): number[] {
 	const standstills: number[] = [];
-	watch.onDidStandStill(milliseconds => {
+	watch.onDidConfirmPause(milliseconds => {
 		standstills.push(milliseconds);
 	});
 	return standstills;
@@ -67,13 +67,13 @@
 // Guards against an entry that reads messages after a pause before its timers have shown it.
 test('a standstill is noticed by whoever looks first, and a step of the time of day is none', () => {
 	const clock = new FakeClock();
-	const watch = new PauseWatch(clock);
+	const watch = new PauseDetector(clock);
 	const standstills = standstillsOf(watch);
 	clock.jumpWall(5000);
-	watch.look();
+	watch.check();
 	assert.deepEqual(standstills, []);
 	clock.sleep(4000);
-	watch.look();
+	watch.check();
 	assert.deepEqual(standstills, [4000]);
 	clock.advance(1000);
 	assert.deepEqual(standstills, [4000]);
@@ -82,15 +82,15 @@
 // Guards against a suspended machine, whose clocks count nothing of it, that acts on its targets' former leases.
 test('a suspension shows once on the clocks of all targets', () => {
 	const clock = new FakeClock();
-	const watch = new PauseWatch(clock);
+	const watch = new PauseDetector(clock);
 	const standstills = standstillsOf(watch);
 	const since = clock.now();
 	clock.advance(50);
-	watch.noteUncounted({milliseconds: 300, since});
-	watch.noteUncounted({milliseconds: 3000, since});
-	watch.noteUncounted({milliseconds: 3010, since: since + 20});
+	watch.reportClockGap({milliseconds: 300, since});
+	watch.reportClockGap({milliseconds: 3000, since});
+	watch.reportClockGap({milliseconds: 3010, since: since + 20});
 	assert.deepEqual(standstills, [3000]);
 	clock.advance(50);
-	watch.noteUncounted({milliseconds: 2000, since: since + 60});
+	watch.reportClockGap({milliseconds: 2000, since: since + 60});
 	assert.deepEqual(standstills, [3000, 2000]);
 });
--- a/test/runtime/peers/tcp-peer-network.test.ts
+++ b/test/runtime/peers/tcp-peer-network.test.ts
@@ -85,10 +85,10 @@
 	const left = await networkOf('entry-1');
 	const right = await networkOf('entry-2');
 	const dead: string[] = [];
-	left.network.onDidProveDead(id => {
+	left.network.onDidConfirmDeath(id => {
 		dead.push(id);
 	});
-	left.network.watch(new Set([right.network.self.peerAddress]));
+	left.network.monitor(new Set([right.network.self.peerAddress]));
 	left.network.send(right.network.self, {channel: 'test', body: 1});
 	await until(() => right.received.length > 0);
 	right.network.dispose();
@@ -100,15 +100,15 @@
 	const left = await networkOf('entry-1');
 	const right = await networkOf('entry-2');
 	const earlier = right.network.self;
-	left.network.watch(new Set([earlier.peerAddress]));
+	left.network.monitor(new Set([earlier.peerAddress]));
 	left.network.send(earlier, {channel: 'test', body: 'first'});
 	await until(() => right.received.length > 0);
 	const dead: string[] = [];
-	left.network.onDidProveDead(id => {
+	left.network.onDidConfirmDeath(id => {
 		dead.push(id);
 	});
 	await wait(2);
-	right.network.renew();
+	right.network.renewIncarnation();
 	await until(() => dead.length > 0);
 	left.network.send(earlier, {channel: 'test', body: 'for the earlier life'});
 	left.network.send(right.network.self, {channel: 'test', body: 'for the new life'});
@@ -140,10 +140,10 @@
 	const {port} = server.address() as AddressInfo;
 	const left = await networkOf('entry-1');
 	const met: string[] = [];
-	left.network.onDidMeet(member => {
+	left.network.onDidDiscover(member => {
 		met.push(member.instance);
 	});
-	left.network.meet(new Set([`127.0.0.1:${port}`]));
+	left.network.discover(new Set([`127.0.0.1:${port}`]));
 	await wait(1500);
 	server.removeAllListeners('connection');
 	const right = await networkOf('entry-2');
@@ -178,12 +178,12 @@
 	relay.leadTo(right.network.self.peerAddress);
 	const address = await relay.listen();
 	relay.cut(() => true);
-	left.network.watch(new Set([address]));
+	left.network.monitor(new Set([address]));
 	await wait(300);
 	relay.loseOpen();
 	relay.cut(() => false);
 	let met = 0;
-	left.network.onDidMeet(() => {
+	left.network.onDidDiscover(() => {
 		met += 1;
 	});
 	await until(() => met > 0);
--- a/test/runtime/settings/read-document.test.ts
+++ b/test/runtime/settings/parse-document.test.ts
@@ -1,8 +1,8 @@
 /** What an operator reads when settings are wrong. */
 import {test} from 'node:test';
-import {describeProblem} from '../../../src/runtime/settings/describe-problem.js';
+import {formatProblem} from '../../../src/runtime/settings/format-problem.js';
 import {entrySettingsSchema} from '../../../src/runtime/settings/entry-settings.js';
-import {readDocument} from '../../../src/runtime/settings/read-document.js';
+import {parseDocument} from '../../../src/runtime/settings/parse-document.js';
 import {snapshotsOf} from '../../support/snapshots.js';
 
 const matchSnapshot = snapshotsOf(import.meta.url);
@@ -22,8 +22,8 @@
 `;
 
 function problemsOf(text: string): unknown {
-	const document = readDocument(text, entrySettingsSchema);
-	return document.kind === 'valid' ? 'valid' : document.problems.map(problem => describeProblem('entry.toml', problem));
+	const document = parseDocument(text, entrySettingsSchema);
+	return document.kind === 'valid' ? 'valid' : document.problems.map(problem => formatProblem('entry.toml', problem));
 }
 
 test('settings name the key, the value, what is allowed, and the line', () => {
--- a/test/support/fake-target-driver.ts
+++ b/test/support/fake-target-driver.ts
@@ -5,15 +5,15 @@
 import type {Verdict} from '../../src/base/verdict.js';
 import type {TargetAddress} from '../../src/runtime/targets/target-address.js';
 import {TargetDriver} from '../../src/runtime/targets/target-driver.js';
-import type {TaskOrder} from '../../src/runtime/targets/task-order.js';
+import type {TaskRequest} from '../../src/runtime/targets/task-request.js';
 
-type Start = {readonly target: TargetAddress; readonly order: TaskOrder; readonly answer: (verdict: Verdict<TaskAnswer>) => void};
+type Start = {readonly target: TargetAddress; readonly order: TaskRequest; readonly answer: (verdict: Verdict<TaskAnswer>) => void};
 
 /** Records every start; a stopped task ends as the real driver would end it. */
 export class FakeTargetDriver extends TargetDriver {
 	readonly starts: Start[] = [];
 
-	override async run(target: TargetAddress, order: TaskOrder, token: CancellationToken): Promise<Verdict<TaskAnswer>> {
+	override async run(target: TargetAddress, order: TaskRequest, token: CancellationToken): Promise<Verdict<TaskAnswer>> {
 		return new Promise(resolve => {
 			token.onDidRequestCancellation(() => {
 				resolve({kind: 'mayHaveRun', cause: 'stopped', detail: 'the task was stopped at the target'});
--- a/test/support/job-tools-of.ts
+++ b/test/support/job-tools-of.ts
@@ -6,7 +6,7 @@
 import {VariantGuard} from '../../src/features/jobs/variant-guard.js';
 import {ZoneSelector} from '../../src/features/jobs/zone-selector.js';
 import type {SlotClient} from '../../src/features/placement/slot-client.js';
-import {SilentMetrics} from '../../src/runtime/metrics/silent-metrics.js';
+import {NoopMetrics} from '../../src/runtime/metrics/noop-metrics.js';
 import type {TargetDriver} from '../../src/runtime/targets/target-driver.js';
 import type {FakeClock} from './fake-clock.js';
 import {RecordingJournal} from './recording-journal.js';
@@ -16,6 +16,6 @@
 	const journal = new RecordingJournal();
 	const zones = ['zone-1', 'zone-2'] as AvailabilityZone[];
 	return {
-		clock, journal, metrics: new SilentMetrics(), driver, slots, budget: new RetryBudget(), guard: new VariantGuard(journal), zones: new ZoneSelector(zones[0]!, zones, clock, new Random(1)),
+		clock, journal, metrics: new NoopMetrics(), driver, slots, budget: new RetryBudget(), guard: new VariantGuard(journal), zones: new ZoneSelector(zones[0]!, zones, clock, new Random(1)),
 	};
 }
--- a/test/support/list-world.ts
+++ b/test/support/list-world.ts
@@ -4,7 +4,7 @@
 import type {MemberId} from '../../src/base/member-id.js';
 import {PoolReaderGroup} from '../../src/features/listing/pool-reader-group.js';
 import {Pool} from '../../src/features/pool/pool.js';
-import {PauseWatch} from '../../src/runtime/pause-watch.js';
+import {PauseDetector} from '../../src/runtime/pause-detector.js';
 import {StoreCatalogue} from '../../platform/store-catalogue.js';
 import type {StoreClient} from '../../platform/store-client.js';
 import {EntryClock} from './entry-clock.js';
@@ -110,7 +110,7 @@
 				isLeaving: this.entries.get(name)?.isLeaving ?? false, routingVersion: 0, demand: [], freeCapacity: [],
 			}),
 			peersInUse: () => new Set<MemberId>(),
-			pauses: new PauseWatch(clock),
+			pauses: new PauseDetector(clock),
 			clock,
 			journal,
 		});
--- a/test/support/model-network.ts
+++ b/test/support/model-network.ts
@@ -164,10 +164,10 @@
 	};
 
 	override readonly onDidReceive = this.receiving.event;
-	override readonly onDidMeet = this.meeting.event;
-	override readonly onDidProveDead = this.proof.event;
+	override readonly onDidDiscover = this.meeting.event;
+	override readonly onDidConfirmDeath = this.proof.event;
 	override readonly onDidReconnect = this.reconnecting.event;
-	override readonly onDidRefuse = this.refusing.event;
+	override readonly onDidRefuseConnection = this.refusing.event;
 
 	constructor(private readonly network: ModelNetwork, override readonly self: Member) {
 		super();
@@ -177,17 +177,17 @@
 		this.network.carry(this.self, to.id, message);
 	}
 
-	override watch(peerAddresses: ReadonlySet<string>): void {
+	override monitor(peerAddresses: ReadonlySet<string>): void {
 		for (const address of peerAddresses) {
 			this.network.dial(this, address);
 		}
 	}
 
-	override meet(): void {
+	override discover(): void {
 		// Everybody is connected.
 	}
 
-	override lastHeard(): undefined {
+	override lastReceivedAt(): undefined {
 		return undefined;
 	}
 
@@ -195,11 +195,11 @@
 		return undefined;
 	}
 
-	override lastReached(): undefined {
+	override lastAcknowledgedAt(): undefined {
 		return undefined;
 	}
 
-	override renew(): void {
+	override renewIncarnation(): void {
 		// A test's member has one life.
 	}
 }
--- a/test/support/pausable-surroundings.ts
+++ b/test/support/pausable-surroundings.ts
@@ -99,17 +99,17 @@
 				this.#receive.fire(message);
 			});
 		});
-		network.onDidMeet(member => {
+		network.onDidDiscover(member => {
 			gate.enter(() => {
 				this.#meet.fire(member);
 			});
 		});
-		network.onDidProveDead(id => {
+		network.onDidConfirmDeath(id => {
 			gate.enter(() => {
 				this.#proveDead.fire(id);
 			});
 		});
-		network.onDidRefuse(address => {
+		network.onDidRefuseConnection(address => {
 			gate.enter(() => {
 				this.#refuse.fire(address);
 			});
@@ -125,15 +125,15 @@
 		return this.#receive.event;
 	}
 
-	override get onDidMeet() {
+	override get onDidDiscover() {
 		return this.#meet.event;
 	}
 
-	override get onDidProveDead() {
+	override get onDidConfirmDeath() {
 		return this.#proveDead.event;
 	}
 
-	override get onDidRefuse() {
+	override get onDidRefuseConnection() {
 		return this.#refuse.event;
 	}
 
@@ -153,28 +153,28 @@
 		this.network.send(to, message);
 	}
 
-	override watch(peerAddresses: ReadonlySet<string>): void {
-		this.network.watch(peerAddresses);
+	override monitor(peerAddresses: ReadonlySet<string>): void {
+		this.network.monitor(peerAddresses);
 	}
 
-	override meet(peerAddresses: ReadonlySet<string>): void {
-		this.network.meet(peerAddresses);
+	override discover(peerAddresses: ReadonlySet<string>): void {
+		this.network.discover(peerAddresses);
 	}
 
-	override lastHeard(member: MemberId): number | undefined {
-		return this.network.lastHeard(member);
+	override lastReceivedAt(member: MemberId): number | undefined {
+		return this.network.lastReceivedAt(member);
 	}
 
 	override unansweredSince(member: MemberId): number | undefined {
 		return this.network.unansweredSince(member);
 	}
 
-	override lastReached(member: MemberId): number | undefined {
-		return this.network.lastReached(member);
+	override lastAcknowledgedAt(member: MemberId): number | undefined {
+		return this.network.lastAcknowledgedAt(member);
 	}
 
-	override renew(): void {
-		this.network.renew();
+	override renewIncarnation(): void {
+		this.network.renewIncarnation();
 	}
 }
 
