--- a/src/entries/edge/edge-daemon.ts
+++ b/src/entries/edge/edge-daemon.ts
@@ -31,7 +31,7 @@
  * healed. Connections to entries that are not close carry a heartbeat a second, and need no pings.
  */
 const peerTiming = {
-	ping: 300, check: 100, silence: 500, connect: 300, redial: 100, use: 0,
+	pingInterval: 300, checkInterval: 100, silenceTimeout: 500, connectTimeout: 300, redialDelay: 100, idleTimeout: 0,
 };
 /** An entry's place in its groups outlives four lost renewals; the store may ask for more. */
 const membershipMilliseconds = 1500;
--- a/src/runtime/kernel/contributions.ts
+++ b/src/runtime/kernel/contributions.ts
@@ -17,7 +17,7 @@
 		return [...registered.values()];
 	},
 
-	named(name: string): Contribution {
+	get(name: string): Contribution {
 		const contribution = registered.get(name);
 		if (contribution === undefined) {
 			throw new Error(`contribution ${name} is required but not registered`);
--- a/src/runtime/kernel/kernel.ts
+++ b/src/runtime/kernel/kernel.ts
@@ -33,7 +33,7 @@
 		}
 
 		for (const required of contribution.requires) {
-			this.#activateOne(contributions.named(required), [...path, contribution.name]);
+			this.#activateOne(contributions.get(required), [...path, contribution.name]);
 		}
 
 		contribution.activate(this.services, this.#store);
--- a/src/runtime/peers/accepted-connection.ts
+++ b/src/runtime/peers/accepted-connection.ts
@@ -5,7 +5,7 @@
 import type {Disposable} from '../../base/disposable.js';
 import {FrameSocket} from './frame-socket.js';
 import {handshake} from './handshake.js';
-import type {LinkListener} from './link-listener.js';
+import type {ConnectionListener} from './connection-listener.js';
 import type {Member} from './member.js';
 import type {peerFrameSchema} from './peer-frame.js';
 import type {TrafficCounter} from './traffic-counter.js';
@@ -23,7 +23,7 @@
 	readonly key: string;
 	readonly clock: Clock;
 	readonly counter: TrafficCounter;
-	readonly listener: LinkListener;
+	readonly listener: ConnectionListener;
 	readonly onDidClose: () => void;
 };
 
@@ -83,12 +83,12 @@
 
 		this.#limit.dispose();
 		this.#peer = member;
-		this.parts.listener.onMet(member);
-		this.parts.listener.onHeard(member);
+		this.parts.listener.onHandshakeCompleted(member);
+		this.parts.listener.onFrameReceived(member);
 	}
 
 	#receiveFrom(member: Member, frame: Frame): void {
-		this.parts.listener.onHeard(member);
+		this.parts.listener.onFrameReceived(member);
 		if (frame.kind === 'ping') {
 			this.#frames.send({kind: 'pong', stamp: frame.stamp});
 		} else if (frame.kind === 'message') {
@@ -97,7 +97,7 @@
 	}
 
 	#stranger(detail: string): void {
-		this.parts.listener.onStranger(detail);
+		this.parts.listener.onHandshakeFailed(detail);
 		this.#frames.dispose();
 	}
 }
--- a/src/runtime/peers/read-frame.ts
+++ b/src/runtime/peers/decode-frame.ts
@@ -10,7 +10,7 @@
  * pings count only after the handshake, from programs that know the key: for them the types of the fields are looked at
  * here, since a schema's check of every message would take much of a busy entry's processor time.
  */
-export function readFrame(bytes: Uint8Array): Frame | undefined {
+export function decodeFrame(bytes: Uint8Array): Frame | undefined {
 	try {
 		const value = decode(bytes) as Partial<Frame> | undefined;
 		return isTraffic(value) ? value : checkedHandshake(value);
--- a/src/runtime/peers/frame-socket.ts
+++ b/src/runtime/peers/frame-socket.ts
@@ -5,7 +5,7 @@
 import {encodeFrame} from './encode-frame.js';
 import {FrameReader} from './frame-reader.js';
 import type {peerFrameSchema} from './peer-frame.js';
-import {readFrame} from './read-frame.js';
+import {decodeFrame} from './decode-frame.js';
 import type {TrafficCounter} from './traffic-counter.js';
 
 /** Above any job's answer; a longer frame ends its connection. */
@@ -44,7 +44,7 @@
 		}
 
 		const bytes = encodeFrame(frame);
-		this.counter.sent(bytes.length, labelOf(frame));
+		this.counter.recordSent(bytes.length, labelOf(frame));
 		this.socket.write(bytes);
 	}
 
@@ -53,7 +53,7 @@
 	}
 
 	#receive(reader: FrameReader, chunk: Uint8Array, onFrame: (frame: Frame) => void): void {
-		this.counter.received(chunk.length);
+		this.counter.recordReceived(chunk.length);
 		const frames = reader.push(chunk);
 		if (frames === undefined) {
 			this.#close('frame over the limit');
@@ -61,13 +61,13 @@
 		}
 
 		for (const bytes of frames) {
-			const frame = readFrame(bytes);
+			const frame = decodeFrame(bytes);
 			if (frame === undefined) {
 				this.#close('unreadable frame');
 				return;
 			}
 
-			this.counter.receivedFrame();
+			this.counter.recordReceivedFrame();
 			if (!this.#isClosed) {
 				onFrame(frame);
 			}
--- a/src/runtime/peers/outgoing-link.ts
+++ b/src/runtime/peers/outgoing-connection.ts
@@ -5,7 +5,7 @@
 import type {MemberId} from '../../base/member-id.js';
 import {FrameSocket} from './frame-socket.js';
 import {handshake} from './handshake.js';
-import type {LinkListener} from './link-listener.js';
+import type {ConnectionListener} from './connection-listener.js';
 import type {Member} from './member.js';
 import type {peerFrameSchema} from './peer-frame.js';
 import type {PeerMessage} from './peer-message.js';
@@ -25,13 +25,13 @@
 	readonly key: string;
 	readonly clock: Clock;
 	readonly counter: TrafficCounter;
-	readonly listener: LinkListener;
+	readonly listener: ConnectionListener;
 	readonly transport: PeerTransport;
 	readonly timing: PeerTiming;
 };
 
 /** Owns the connection to one peer address, and keeps it alive while it's watched or used. */
-export class OutgoingLink implements Disposable {
+export class OutgoingConnection implements Disposable {
 	#socket: FrameSocket | undefined;
 	#peer: Member | undefined;
 	#nonce = '';
@@ -44,13 +44,13 @@
 	#hasMet = false;
 	#redial: Disposable | undefined;
 
-	constructor(private readonly parts: OutgoingLinkParts, public isWatched: boolean) {
+	constructor(private readonly parts: OutgoingLinkParts, public isMonitored: boolean) {
 		this.#usedAt = parts.clock.now();
 		this.#dial();
 	}
 
 	/** Whether somebody answered here once. */
-	get hasMet(): boolean {
+	get hasCompletedHandshake(): boolean {
 		return this.#hasMet;
 	}
 
@@ -81,14 +81,14 @@
 			return;
 		}
 
-		if (this.#peer === undefined && this.#isConnected && this.parts.clock.now() - this.#heardAt > this.parts.timing.silence) {
+		if (this.#peer === undefined && this.#isConnected && this.parts.clock.now() - this.#heardAt > this.parts.timing.silenceTimeout) {
 			// The connection has gone silent before its handshake was answered: nothing is pinged on it that could show so.
 			this.#socket.dispose();
 			return;
 		}
 
-		const aliveAt = this.#peer === undefined ? this.#heardAt : Math.max(this.#heardAt, this.parts.listener.reachedAt(this.#peer));
-		if (this.parts.clock.now() - aliveAt > this.parts.timing.silence && this.#pingedAt > aliveAt) {
+		const aliveAt = this.#peer === undefined ? this.#heardAt : Math.max(this.#heardAt, this.parts.listener.lastAcknowledgedAt(this.#peer));
+		if (this.parts.clock.now() - aliveAt > this.parts.timing.silenceTimeout && this.#pingedAt > aliveAt) {
 			this.#socket.dispose();
 			return;
 		}
@@ -108,12 +108,12 @@
 	get #isWanted(): boolean {
 		// An address that never answered is dialled until it does or refuses: as long as it does neither, nobody can tell
 		// whether an entry is there, and its zone's newcomers wait.
-		return !this.#hasMet || this.isWatched || this.parts.clock.now() - this.#usedAt < this.parts.timing.use;
+		return !this.#hasMet || this.isMonitored || this.parts.clock.now() - this.#usedAt < this.parts.timing.idleTimeout;
 	}
 
 	#isQuiet(peer: Member): boolean {
 		// What comes from the peer over its own connection says nothing of this one: only an answer does.
-		return this.parts.clock.now() - this.parts.listener.reachedAt(peer) >= this.parts.timing.ping;
+		return this.parts.clock.now() - this.parts.listener.lastAcknowledgedAt(peer) >= this.parts.timing.pingInterval;
 	}
 
 	#dial(): void {
@@ -130,7 +130,7 @@
 				kind: 'hello', version: 1, nonce: this.#nonce, member: this.parts.self,
 			});
 		});
-		socket.setTimeout(this.parts.timing.connect);
+		socket.setTimeout(this.parts.timing.connectTimeout);
 		this.#isConnected = false;
 		this.#heardAt = this.parts.clock.now();
 		this.#nonce = handshake.nonce();
@@ -148,11 +148,11 @@
 	#receive(frame: Frame): void {
 		this.#heardAt = this.parts.clock.now();
 		if (this.#peer !== undefined) {
-			this.parts.listener.onHeard(this.#peer);
+			this.parts.listener.onFrameReceived(this.#peer);
 			if (frame.kind === 'message') {
 				this.parts.listener.onMessage(this.#peer, frame);
 			} else if (frame.kind === 'pong') {
-				this.parts.listener.onReached(this.#peer, frame.stamp);
+				this.parts.listener.onAcknowledged(this.#peer, frame.stamp);
 			}
 
 			return;
@@ -163,7 +163,7 @@
 
 	#prove(frame: Frame): void {
 		if (frame.kind !== 'welcome' || !handshake.matches(handshake.proof(this.parts.key, 'listener', this.#nonce, frame.member.id), frame.proof)) {
-			this.parts.listener.onStranger(`listener at ${this.parts.peerAddress}`);
+			this.parts.listener.onHandshakeFailed(`listener at ${this.parts.peerAddress}`);
 			this.#socket?.dispose();
 			return;
 		}
@@ -171,8 +171,8 @@
 		this.#socket?.send({kind: 'proof', proof: handshake.proof(this.parts.key, 'dialer', frame.nonce, this.parts.self.id)});
 		this.#peer = frame.member;
 		this.#hasMet = true;
-		this.parts.listener.onMet(frame.member);
-		this.parts.listener.onHeard(frame.member);
+		this.parts.listener.onHandshakeCompleted(frame.member);
+		this.parts.listener.onFrameReceived(frame.member);
 		const queued = this.#queue;
 		this.#queue = [];
 		for (const entry of queued) {
@@ -185,7 +185,7 @@
 		if (entry.to === this.#peer?.id) {
 			const stamp = Math.floor(this.parts.clock.now());
 			this.#socket?.send({
-				kind: 'message', ...entry.message, stamp, echo: this.parts.listener.stampOf(this.#peer),
+				kind: 'message', ...entry.message, stamp, echo: this.parts.listener.lastStampOf(this.#peer),
 			});
 		}
 	}
@@ -198,11 +198,11 @@
 		this.#socket = undefined;
 		this.#peer = undefined;
 		if (reason === 'ECONNREFUSED') {
-			this.parts.listener.onRefused(this.parts.peerAddress);
+			this.parts.listener.onConnectionRefused(this.parts.peerAddress);
 		}
 
 		if (!this.#isDisposed && (this.#isWanted || this.#queue.length > 0)) {
-			this.#redial = this.parts.clock.schedule(this.parts.timing.redial, () => {
+			this.#redial = this.parts.clock.schedule(this.parts.timing.redialDelay, () => {
 				this.#dial();
 			});
 		}
--- a/src/runtime/peers/tcp-peer-network.ts
+++ b/src/runtime/peers/tcp-peer-network.ts
@@ -9,10 +9,10 @@
 import {repeat} from '../../base/repeat.js';
 import type {Journal} from '../journal/journal.js';
 import {AcceptedConnection} from './accepted-connection.js';
-import {calmPeerTiming} from './calm-peer-timing.js';
-import type {LinkListener} from './link-listener.js';
+import {defaultPeerTiming} from './default-peer-timing.js';
+import type {ConnectionListener} from './connection-listener.js';
 import type {Member} from './member.js';
-import {OutgoingLink} from './outgoing-link.js';
+import {OutgoingConnection} from './outgoing-connection.js';
 import type {PeerMessage} from './peer-message.js';
 import {PeerNetwork} from './peer-network.js';
 import type {PeerTiming} from './peer-timing.js';
@@ -40,7 +40,7 @@
 	readonly #server: Server;
 	readonly #counter = new TrafficCounter();
 	readonly #accepted = new Set<AcceptedConnection>();
-	readonly #links = new Map<string, OutgoingLink>();
+	readonly #links = new Map<string, OutgoingConnection>();
 	readonly #lives = new Map<string, Member>();
 	readonly #heard = new Map<MemberId, number>();
 	readonly #unanswered = new Map<MemberId, number>();
@@ -56,7 +56,7 @@
 	/** Dialled until somebody there was met, watched or not. */
 	readonly #sought = new Set<string>();
 	#self: Member;
-	readonly #listener: LinkListener;
+	readonly #listener: ConnectionListener;
 	/** One for all links: a timer each would wake an entry of a large fleet all the time for nothing. */
 	readonly #checks: Disposable;
 
@@ -64,7 +64,7 @@
 		super();
 		this.#self = this.#newLife(identity.port);
 		this.#listener = this.#createListener();
-		this.#checks = repeat(clock, (identity.timing ?? calmPeerTiming).check, () => {
+		this.#checks = repeat(clock, (identity.timing ?? defaultPeerTiming).checkInterval, () => {
 			for (const link of this.#links.values()) {
 				link.check();
 			}
@@ -134,9 +134,9 @@
 	override monitor(peerAddresses: ReadonlySet<string>): void {
 		this.#watched = peerAddresses;
 		for (const [address, link] of this.#links) {
-			link.isWatched = peerAddresses.has(address);
+			link.isMonitored = peerAddresses.has(address);
 			// Nobody waits to meet whoever is there, and the link would dial until it's answered.
-			if (!link.isWatched && !link.hasMet && !this.#sought.has(address) && !this.#lives.has(address)) {
+			if (!link.isMonitored && !link.hasCompletedHandshake && !this.#sought.has(address) && !this.#lives.has(address)) {
 				link.dispose();
 				this.#links.delete(address);
 			}
@@ -200,13 +200,13 @@
 		};
 	}
 
-	#linkTo(address: string): OutgoingLink {
+	#linkTo(address: string): OutgoingConnection {
 		const known = this.#links.get(address);
 		if (known !== undefined) {
 			return known;
 		}
 
-		const link = new OutgoingLink({...this.#linkParts(), peerAddress: address}, this.#watched.has(address));
+		const link = new OutgoingConnection({...this.#linkParts(), peerAddress: address}, this.#watched.has(address));
 		this.#links.set(address, link);
 		return link;
 	}
@@ -219,33 +219,33 @@
 			counter: this.#counter,
 			listener: this.#listener,
 			transport: this.identity.transport,
-			timing: this.identity.timing ?? calmPeerTiming,
+			timing: this.identity.timing ?? defaultPeerTiming,
 		};
 	}
 
-	#createListener(): LinkListener {
+	#createListener(): ConnectionListener {
 		return {
-			onMet: member => {
+			onHandshakeCompleted: member => {
 				this.#met(member);
 			},
-			onHeard: member => {
+			onFrameReceived: member => {
 				this.#unanswered.delete(member.id);
 				this.#heard.set(member.id, this.clock.now());
 			},
-			onReached: (member, sentAt) => {
+			onAcknowledged: (member, sentAt) => {
 				this.#reached.set(member.id, Math.max(sentAt, this.#reached.get(member.id) ?? 0));
 			},
-			stampOf: member => this.#stamps.get(member.id) ?? 0,
-			reachedAt: member => this.#reached.get(member.id) ?? 0,
+			lastStampOf: member => this.#stamps.get(member.id) ?? 0,
+			lastAcknowledgedAt: member => this.#reached.get(member.id) ?? 0,
 			onMessage: (from, message) => {
 				this.#stamps.set(from.id, message.stamp);
 				this.#reached.set(from.id, Math.max(message.echo, this.#reached.get(from.id) ?? 0));
 				this.#receive.fire({from, message});
 			},
-			onRefused: address => {
+			onConnectionRefused: address => {
 				this.#refused(address);
 			},
-			onStranger: detail => {
+			onHandshakeFailed: detail => {
 				this.journal.record('strangerDropped', {detail});
 			},
 		};
--- a/src/runtime/peers/traffic-counter.ts
+++ b/src/runtime/peers/traffic-counter.ts
@@ -19,17 +19,17 @@
 		};
 	}
 
-	sent(bytes: number, kind: string): void {
+	recordSent(bytes: number, kind: string): void {
 		this.#sentFrames += 1;
 		this.#sentByKind.set(kind, (this.#sentByKind.get(kind) ?? 0) + 1);
 		this.#sentBytes += bytes;
 	}
 
-	received(bytes: number): void {
+	recordReceived(bytes: number): void {
 		this.#receivedBytes += bytes;
 	}
 
-	receivedFrame(): void {
+	recordReceivedFrame(): void {
 		this.#receivedFrames += 1;
 	}
 }
--- a/src/runtime/settings/format-problem.ts
+++ b/src/runtime/settings/format-problem.ts
@@ -5,5 +5,5 @@
 export function formatProblem(file: string, problem: SettingsProblem): string {
 	const place = problem.line === undefined ? file : `${file}:${problem.line}`;
 	const value = problem.value === '' ? '' : ` = ${problem.value}`;
-	return `${place}: ${problem.key}${value}: ${problem.allowed}`;
+	return `${place}: ${problem.key}${value}: ${problem.expected}`;
 }
--- a/src/runtime/settings/parse-document.ts
+++ b/src/runtime/settings/parse-document.ts
@@ -24,11 +24,11 @@
 function syntaxProblem(error: unknown): SettingsProblem {
 	if (error instanceof TomlError) {
 		return {
-			key: '(document)', value: '', allowed: error.message.split('\n')[0] ?? 'valid TOML', line: error.line,
+			key: '(document)', value: '', expected: error.message.split('\n')[0] ?? 'valid TOML', line: error.line,
 		};
 	}
 
-	return {key: '(document)', value: '', allowed: 'valid TOML'};
+	return {key: '(document)', value: '', expected: 'valid TOML'};
 }
 
 function problemsOf(issue: z.core.$ZodIssue, raw: unknown, text: string): readonly SettingsProblem[] {
@@ -37,13 +37,13 @@
 		return issue.keys.map(key => ({
 			key: [...path, key].join('.'),
 			value: shown(valueAt(raw, [...path, key])),
-			allowed: 'no such key',
+			expected: 'no such key',
 			line: lineOf(text, [...path, key]),
 		}));
 	}
 
 	return [{
-		key: path.join('.'), value: shown(valueAt(raw, path)), allowed: issue.message, line: lineOf(text, path),
+		key: path.join('.'), value: shown(valueAt(raw, path)), expected: issue.message, line: lineOf(text, path),
 	}];
 }
 
--- a/src/runtime/settings/settings-problem.ts
+++ b/src/runtime/settings/settings-problem.ts
@@ -4,6 +4,6 @@
 export type SettingsProblem = {
 	readonly key: string;
 	readonly value: string;
-	readonly allowed: string;
+	readonly expected: string;
 	readonly line?: number;
 };
--- a/src/runtime/stream/http-log-stream.ts
+++ b/src/runtime/stream/http-log-stream.ts
@@ -6,9 +6,9 @@
 import type {JsonValue} from '../../base/json-value.js';
 import {jsonValueSchema} from '../../base/json-value-schema.js';
 import type {StreamOffset} from '../../base/stream-offset.js';
-import type {AppendOutcome} from './append-outcome.js';
+import type {AppendResult} from './append-result.js';
 import {LogStream} from './log-stream.js';
-import type {StreamReading} from './stream-reading.js';
+import type {StreamReadResult} from './stream-read-result.js';
 
 const appendTimeoutMilliseconds = 3000;
 const readMarginMilliseconds = 3000;
@@ -30,7 +30,7 @@
 		this.#recordsUrl = `${baseUrl}/streams/${streamName}/records`;
 	}
 
-	override async append(body: JsonValue, token: CancellationToken): Promise<AppendOutcome> {
+	override async append(body: JsonValue, token: CancellationToken): Promise<AppendResult> {
 		try {
 			const response = await request(this.#recordsUrl, {
 				method: 'POST',
@@ -51,7 +51,7 @@
 		}
 	}
 
-	override async read(from: StreamOffset, waitMilliseconds: number, token: CancellationToken): Promise<StreamReading> {
+	override async read(from: StreamOffset, waitMilliseconds: number, token: CancellationToken): Promise<StreamReadResult> {
 		try {
 			const response = await request(`${this.#recordsUrl}?from=${from}&wait=${waitMilliseconds}`, {
 				signal: abortSignalOf(waitMilliseconds + readMarginMilliseconds, token),
--- a/src/runtime/stream/stream-reading.ts
+++ b/src/runtime/stream/stream-read-result.ts
@@ -2,6 +2,6 @@
 import type {StreamPage} from './stream-page.js';
 
 /** A page, or the reason that there is none. */
-export type StreamReading =
+export type StreamReadResult =
 	| {readonly kind: 'page'; readonly page: StreamPage}
 	| {readonly kind: 'unavailable'; readonly detail: string};
--- a/standins/relay.ts
+++ b/standins/relay.ts
@@ -3,7 +3,7 @@
 	connect, createServer, type AddressInfo, type Server, type Socket,
 } from 'node:net';
 import {FrameReader} from '../src/runtime/peers/frame-reader.js';
-import {readFrame} from '../src/runtime/peers/read-frame.js';
+import {decodeFrame} from '../src/runtime/peers/decode-frame.js';
 
 const frameLimitBytes = 8_388_608;
 
@@ -164,6 +164,6 @@
 
 function sourceOf(reader: FrameReader, chunk: Uint8Array): string {
 	const [first] = reader.push(chunk) ?? [];
-	const frame = first === undefined ? undefined : readFrame(first);
+	const frame = first === undefined ? undefined : decodeFrame(first);
 	return frame?.kind === 'hello' ? frame.member.zone : '';
 }
--- a/test/runtime/kernel/kernel.test.ts
+++ b/test/runtime/kernel/kernel.test.ts
@@ -33,7 +33,7 @@
 });
 
 test('a requirement that nobody registered, and a circle of them, are named', () => {
-	assert.throws(() => contributions.named('cellar'), /contribution cellar is required but not registered/v);
+	assert.throws(() => contributions.get('cellar'), /contribution cellar is required but not registered/v);
 	contributions.register(new Recorded('hen', ['egg'], []));
 	contributions.register(new Recorded('egg', ['hen'], []));
 	assert.throws(() => {
