--- a/src/runtime/journal/counting-journal.ts
+++ b/src/runtime/journal/counting-journal.ts
@@ -1,16 +1,16 @@
-/** A journal that also counts. */
+/** A journal that derives metrics from events. */
 import type {Metrics} from '../metrics/metrics.js';
 import type {EventFields} from './event-fields.js';
 import type {EventName} from './event-name.js';
 import {Journal} from './journal.js';
 
-/** The fields of events that hold a duration, and those that tell kinds of its events apart. */
-const timed: Partial<Record<EventName, {readonly duration: string; readonly kind: string}>> = {
-	jobEnded: {duration: 'tookMilliseconds', kind: 'verdict'},
-	runEnded: {duration: 'ranMilliseconds', kind: 'outcome'},
+/** For each timed event, the field with its duration in milliseconds and the field that becomes the metric's tag. */
+const timedEvents: Partial<Record<EventName, {readonly duration: string; readonly tag: string}>> = {
+	jobEnded: {duration: 'tookMilliseconds', tag: 'verdict'},
+	runEnded: {duration: 'ranMilliseconds', tag: 'outcome'},
 };
 
-/** Counts each event, and the durations that some carry, before it passes them on: logs and metrics can't disagree. */
+/** Forwards each event to the inner journal, counts it, and records the duration of timed events. */
 export class CountingJournal extends Journal {
 	readonly #tags = new Map<string, Readonly<Record<string, string>>>();
 
@@ -21,13 +21,13 @@
 	override record(event: EventName, fields: EventFields): void {
 		this.inner.record(event, fields);
 		this.metrics.count('events', 1, this.#tagsOf('event', event));
-		const timing = timed[event];
+		const timing = timedEvents[event];
 		if (timing !== undefined) {
-			this.metrics.timing(event, Number(fields[timing.duration]), this.#tagsOf(timing.kind, String(fields[timing.kind])));
+			this.metrics.timing(event, Number(fields[timing.duration]), this.#tagsOf(timing.tag, String(fields[timing.tag])));
 		}
 	}
 
-	/** The same object for the same tag, by which metrics find the name that they have made of it. */
+	/** Returns the same object for the same tag, because metrics cache their keys by object identity. */
 	#tagsOf(name: string, value: string): Readonly<Record<string, string>> {
 		const key = `${name}=${value}`;
 		const tags = this.#tags.get(key) ?? {[name]: value};
--- a/src/runtime/journal/debug-journal.ts
+++ b/src/runtime/journal/debug-journal.ts
@@ -1,4 +1,4 @@
-/** The journal on top of the debug package. */
+/** A journal that writes through the `debug` package. */
 import createDebug from 'debug';
 import {eventCatalogue} from './event-catalogue.js';
 import type {EventFields} from './event-fields.js';
--- a/src/runtime/journal/event-catalogue.ts
+++ b/src/runtime/journal/event-catalogue.ts
@@ -1,4 +1,4 @@
-/** All events of the daemon; docs/EVENTS.md is checked against this list. */
+/** All events that the daemon can log; docs/EVENTS.md is generated from this list. */
 import {configurationEvents} from './events/configuration-events.js';
 import {jobEvents} from './events/job-events.js';
 import {membershipEvents} from './events/membership-events.js';
@@ -8,7 +8,7 @@
 import {processEvents} from './events/process-events.js';
 import {submissionEvents} from './events/submission-events.js';
 
-/** Hundreds group the events by what they are about; each group has a file of its own. */
+/** Event descriptions by name. Each group of events has its own hundred of numbers and its own file. */
 export const eventCatalogue = {
 	...processEvents,
 	...configurationEvents,
--- a/src/runtime/journal/event-description.ts
+++ b/src/runtime/journal/event-description.ts
@@ -1,7 +1,7 @@
-/** A row of the event catalogue. */
+/** The description of one event. */
 import type {EventLevel} from './event-level.js';
 
-/** The number never changes its meaning; a retired number isn't used again. */
+/** A row of the event catalogue. Numbers are stable: the number of a removed event is not reused. */
 export type EventDescription = {
 	readonly number: number;
 	readonly level: EventLevel;
--- a/src/runtime/journal/event-fields.ts
+++ b/src/runtime/journal/event-fields.ts
@@ -1,4 +1,4 @@
-/** The structured part of a log line. */
+/** Structured fields of a log line. */
 
-/** Flat values by field name, as the event's row in docs/EVENTS.md lists them. */
+/** Scalar values by field name; docs/EVENTS.md lists the fields of each event. */
 export type EventFields = Readonly<Record<string, string | number | boolean | undefined>>;
--- a/src/runtime/journal/event-level.ts
+++ b/src/runtime/journal/event-level.ts
@@ -1,4 +1,4 @@
-/** How much an event matters to an operator. */
+/** Severity levels of events. */
 
-/** `alarm` asks for an operator; docs/operations/alarms.md says what to do. */
+/** From least to most severe; an `alarm` requires operator action, see docs/operations/alarms.md. */
 export type EventLevel = 'detail' | 'notice' | 'warning' | 'alarm';
--- a/src/runtime/journal/event-name.ts
+++ b/src/runtime/journal/event-name.ts
@@ -1,5 +1,5 @@
 /** Names of the events in the catalogue. */
 import type {eventCatalogue} from './event-catalogue.js';
 
-/** Any event that the daemon can log. */
+/** A key of the event catalogue. */
 export type EventName = keyof typeof eventCatalogue;
--- a/src/runtime/journal/events/job-events.ts
+++ b/src/runtime/journal/events/job-events.ts
@@ -1,7 +1,7 @@
-/** Jobs that run on slots: numbers from 500. */
+/** Events of jobs that run on slots; numbers from 500. */
 import type {EventDescription} from '../event-description.js';
 
-/** A part of the event catalogue. */
+/** Starts, ends and retries of tasks, and verdicts of jobs. */
 export const jobEvents = {
 	taskStarted: {
 		number: 500, level: 'detail', meaning: 'A task is sent to its target', fields: ['task', 'target', 'attempt', 'profile', 'variant'],
@@ -10,18 +10,18 @@
 		number: 501, level: 'detail', meaning: 'A task ended', fields: ['task', 'target', 'verdict', 'milliseconds'],
 	},
 	taskRetried: {
-		number: 502, level: 'detail', meaning: 'A task that provably didn\'t run is tried again', fields: ['task', 'attempt', 'refusedBy'],
+		number: 502, level: 'detail', meaning: 'A task that is known not to have run is retried', fields: ['task', 'attempt', 'refusedBy'],
 	},
 	jobSpilled: {
-		number: 503, level: 'detail', meaning: 'A job goes to another zone', fields: ['job', 'from', 'to', 'cause'],
+		number: 503, level: 'detail', meaning: 'A job was forwarded to another zone', fields: ['job', 'from', 'to', 'cause'],
 	},
 	jobConcluded: {
-		number: 504, level: 'detail', meaning: 'A job has its verdict', fields: ['job', 'profile', 'tasks', 'verdict', 'cause', 'milliseconds'],
+		number: 504, level: 'detail', meaning: 'A job completed with a verdict', fields: ['job', 'profile', 'tasks', 'verdict', 'cause', 'milliseconds'],
 	},
 	trialStopped: {
 		number: 505,
 		level: 'alarm',
-		meaning: 'A variant did worse than its guard allows; its traffic goes to the base',
+		meaning: 'A variant exceeded the limits of its guard; its traffic is routed to the base',
 		fields: ['profile', 'revision', 'label', 'cause', 'variantFailureShare', 'baseFailureShare', 'variantMilliseconds', 'baseMilliseconds'],
 	},
 } as const satisfies Readonly<Record<string, EventDescription>>;
--- a/src/runtime/journal/events/ownership-events.ts
+++ b/src/runtime/journal/events/ownership-events.ts
@@ -1,81 +1,87 @@
-/** Who owns a target, and what its owner runs there: numbers from 700. */
+/** Events of target ownership and of the runs on owned targets; numbers from 700. */
 import type {EventDescription} from '../event-description.js';
 
-/** A part of the event catalogue. */
+/** Changes of ownership, target sessions and their runs. */
 export const ownershipEvents = {
 	claimChanged: {
-		number: 700, level: 'notice', meaning: 'The group gave this entry other partitions', fields: ['group', 'generation', 'partitions', 'lost'],
+		number: 700, level: 'notice', meaning: 'The partitions assigned to this entry by its group changed', fields: ['group', 'generation', 'partitions', 'lost'],
 	},
 	groupAway: {
-		number: 701, level: 'warning', meaning: 'The group can\'t be asked; the claim stays until a target rejects its token', fields: ['group', 'generation'],
+		number: 701, level: 'warning', meaning: 'The group is unreachable; the claim stays until a target rejects its fencing token', fields: ['group', 'generation'],
 	},
 	groupBack: {
-		number: 702, level: 'notice', meaning: 'The group answers again', fields: ['group', 'generation'],
+		number: 702, level: 'notice', meaning: 'The group is reachable again', fields: ['group', 'generation'],
 	},
 	groupLeft: {
-		number: 703, level: 'notice', meaning: 'This entry gave up its partitions', fields: ['group', 'generation'],
+		number: 703, level: 'notice', meaning: 'This entry left its group and released its partitions', fields: ['group', 'generation'],
 	},
 	zoneCovered: {
-		number: 704, level: 'notice', meaning: 'This entry joins, or leaves, the group of another zone that has no entry of its own', fields: ['zone', 'isCovered', 'holders'],
+		number: 704, level: 'notice', meaning: 'This entry joined or left the group of a zone without entries of its own', fields: ['zone', 'isCovered', 'holders'],
 	},
 	targetOwned: {
-		number: 710, level: 'notice', meaning: 'This entry orders a target from now on', fields: ['target', 'fence', 'adopted'],
+		number: 710, level: 'notice', meaning: 'This entry became the owner of a target', fields: ['target', 'fence', 'adopted'],
 	},
 	targetReleased: {
-		number: 711, level: 'notice', meaning: 'A target was given up for the next owner, with what runs there', fields: ['target', 'fence', 'handedOver'],
+		number: 711, level: 'notice', meaning: 'A target and its runs were released to the next owner', fields: ['target', 'fence', 'handedOver'],
 	},
 	targetDropped: {
-		number: 712, level: 'notice', meaning: 'A target left the catalogue or this entry\'s partitions', fields: ['target'],
+		number: 712, level: 'notice', meaning: 'A target was removed from the catalogue or from this entry\'s partitions', fields: ['target'],
 	},
 	sessionEnded: {
-		number: 713, level: 'warning', meaning: 'A target has met a newer owner, or its life is over', fields: ['target', 'kind', 'detail', 'fence', 'runs'],
+		number: 713, level: 'warning', meaning: 'The session with a target ended: a newer owner took over, or the target is gone', fields: ['target', 'kind', 'detail', 'fence', 'runs'],
 	},
 	targetSilent: {
-		number: 714, level: 'warning', meaning: 'A target does not answer and gets no new tasks', fields: ['target', 'kind', 'detail', 'runs'],
+		number: 714, level: 'warning', meaning: 'A target is not responding and gets no new tasks', fields: ['target', 'kind', 'detail', 'runs'],
 	},
 	targetAnswers: {
-		number: 715, level: 'notice', meaning: 'A silent target answers again', fields: ['target', 'unanswered'],
+		number: 715, level: 'notice', meaning: 'An unresponsive target responds again', fields: ['target', 'unanswered'],
 	},
 	strangerStopped: {
-		number: 716, level: 'notice', meaning: 'A run of a former owner is stopped, since nobody handed it over', fields: ['target', 'task', 'attempt'],
+		number: 716, level: 'notice', meaning: 'A previous owner\'s run that was not handed over is stopped', fields: ['target', 'task', 'attempt'],
 	},
 	targetRestarted: {
 		number: 717,
 		level: 'warning',
-		meaning: 'A target started again under its id; what ran there before is gone',
+		meaning: 'A target restarted under the same id; its earlier runs are lost',
 		fields: ['target', 'incarnation', 'former', 'acknowledged', 'runs'],
 	},
 	runStarted: {
-		number: 720, level: 'detail', meaning: 'A run is ordered from a target with this room left before it', fields: ['task', 'attempt', 'target', 'fence', 'roomCpuMillis', 'cpuMillis', 'requester'],
+		number: 720,
+		level: 'detail',
+		meaning: 'A run is started on a target; roomCpuMillis is the free CPU capacity before the start',
+		fields: ['task', 'attempt', 'target', 'fence', 'roomCpuMillis', 'cpuMillis', 'requester'],
 	},
 	startRefused: {
-		number: 721, level: 'detail', meaning: 'A target did not take a start', fields: ['target', 'task', 'attempt', 'kind', 'detail'],
+		number: 721, level: 'detail', meaning: 'A target did not accept a start request', fields: ['target', 'task', 'attempt', 'kind', 'detail'],
 	},
 	runStopped: {
-		number: 722, level: 'detail', meaning: 'A run is told to stop', fields: ['target', 'task', 'attempt', 'cause'],
+		number: 722, level: 'detail', meaning: 'A stop was requested for a run', fields: ['target', 'task', 'attempt', 'cause'],
 	},
 	runEnded: {
-		number: 723, level: 'detail', meaning: 'A run has ended, or provably never began', fields: ['task', 'attempt', 'target', 'outcome', 'cause', 'ranMilliseconds'],
+		number: 723, level: 'detail', meaning: 'A run ended, or is known never to have started', fields: ['task', 'attempt', 'target', 'outcome', 'cause', 'ranMilliseconds'],
 	},
 	targetOverdue: {
 		number: 724,
 		level: 'warning',
-		meaning: 'Runs take much longer than expected; they are stopped and begun elsewhere, and the target is taken out for a while',
+		meaning: 'Runs take much longer than expected; they are restarted elsewhere, and the target is temporarily excluded',
 		fields: ['target', 'runs', 'ranMilliseconds', 'expectedMilliseconds'],
 	},
 	runRefused: {
-		number: 725, level: 'detail', meaning: 'Another entry asked for a run, and no target here has room for it', fields: ['task', 'attempt', 'requester'],
+		number: 725, level: 'detail', meaning: 'A run requested by another entry was refused because no target here has capacity', fields: ['task', 'attempt', 'requester'],
 	},
 	requestOutdated: {
-		number: 729, level: 'detail', meaning: 'Another entry asked for a run in a former epoch: it was lost here since, or this entry stood still', fields: ['task', 'attempt', 'requester'],
+		number: 729,
+		level: 'detail',
+		meaning: 'A run request from a previous epoch was refused: its sender was declared lost since, or this entry was paused',
+		fields: ['task', 'attempt', 'requester'],
 	},
 	taskBarred: {
-		number: 726, level: 'warning', meaning: 'A task was lost with several targets: it\'s started no more, or not before it\'s known what became of them', fields: ['task', 'condition', 'targets'],
+		number: 726, level: 'warning', meaning: 'A task was lost with several targets; it is not started again, or not until their state is known', fields: ['task', 'condition', 'targets'],
 	},
 	formerLifeEnded: {
-		number: 727, level: 'notice', meaning: 'This entry took the place of a former life of its own out of a group', fields: ['group', 'holder'],
+		number: 727, level: 'notice', meaning: 'This entry removed its own previous incarnation from a group', fields: ['group', 'holder'],
 	},
 	runFound: {
-		number: 728, level: 'detail', meaning: 'A start without an answer was carried out; the run goes on', fields: ['target', 'task', 'attempt'],
+		number: 728, level: 'detail', meaning: 'A start without a response turned out to have succeeded; the run continues', fields: ['target', 'task', 'attempt'],
 	},
 } as const satisfies Readonly<Record<string, EventDescription>>;
--- a/src/runtime/journal/events/pooled-job-events.ts
+++ b/src/runtime/journal/events/pooled-job-events.ts
@@ -1,30 +1,30 @@
-/** Jobs that run on shared room: numbers from 800. */
+/** Events of jobs that run on pooled capacity; numbers from 800. */
 import type {EventDescription} from '../event-description.js';
 
-/** A part of the event catalogue. */
+/** Submission, distribution and verdicts of pooled jobs. */
 export const pooledJobEvents = {
 	jobAccepted: {
 		number: 800,
 		level: 'detail',
-		meaning: 'A job waits for room',
+		meaning: 'A job was accepted and waits for capacity',
 		fields: ['job', 'queue', 'tasks', 'expectedMilliseconds', 'objectiveMilliseconds', 'patienceMilliseconds', 'ageMilliseconds', 'isResubmitted', 'isBeforeRoom'],
 	},
 	taskSent: {
-		number: 801, level: 'detail', meaning: 'A task goes to another entry\'s targets', fields: ['task', 'attempt', 'owner', 'heardAgoMilliseconds'],
+		number: 801, level: 'detail', meaning: 'A task is sent to another entry\'s targets', fields: ['task', 'attempt', 'owner', 'heardAgoMilliseconds'],
 	},
 	jobEnded: {
-		number: 802, level: 'detail', meaning: 'A job has its verdict', fields: ['job', 'queue', 'verdict', 'detail', 'tookMilliseconds', 'expectedMilliseconds'],
+		number: 802, level: 'detail', meaning: 'A job completed with a verdict', fields: ['job', 'queue', 'verdict', 'detail', 'tookMilliseconds', 'expectedMilliseconds'],
 	},
 	jobUnreadable: {
-		number: 803, level: 'notice', meaning: 'A job can\'t be read and does not run', fields: ['job', 'queue', 'detail'],
+		number: 803, level: 'notice', meaning: 'A job could not be decoded and was not run', fields: ['job', 'queue', 'detail'],
 	},
 	callerUnreadable: {
-		number: 804, level: 'notice', meaning: 'A caller does not speak HTTP; its connection is closed', fields: ['detail'],
+		number: 804, level: 'notice', meaning: 'A caller sent an invalid HTTP request; its connection was closed', fields: ['detail'],
 	},
 	callerGone: {
-		number: 805, level: 'detail', meaning: 'A caller\'s connection broke', fields: ['detail'],
+		number: 805, level: 'detail', meaning: 'A caller\'s connection was lost', fields: ['detail'],
 	},
 	jobRejoined: {
-		number: 806, level: 'detail', meaning: 'A job was submitted again while it runs here; its latest submitter gets the answer', fields: ['job', 'startedTasks'],
+		number: 806, level: 'detail', meaning: 'A job was resubmitted while it is running here; the latest caller gets the answer', fields: ['job', 'startedTasks'],
 	},
 } as const satisfies Readonly<Record<string, EventDescription>>;
--- a/src/runtime/journal/events/process-events.ts
+++ b/src/runtime/journal/events/process-events.ts
@@ -1,34 +1,34 @@
-/** The process and its log: numbers from 100. */
+/** Events of the process life cycle and of its log output; numbers from 100. */
 import type {EventDescription} from '../event-description.js';
 
-/** A part of the event catalogue. */
+/** Start, shutdown, settings and faults of the process. */
 export const processEvents = {
 	started: {
-		number: 100, level: 'notice', meaning: 'The daemon listens', fields: ['instance', 'zone', 'httpPort', 'peerPort'],
+		number: 100, level: 'notice', meaning: 'The daemon is listening', fields: ['instance', 'zone', 'httpPort', 'peerPort'],
 	},
 	draining: {
-		number: 101, level: 'notice', meaning: 'The daemon was told to stop and refuses new jobs', fields: ['inFlight'],
+		number: 101, level: 'notice', meaning: 'The daemon is shutting down and refuses new jobs', fields: ['inFlight'],
 	},
 	stopped: {
-		number: 102, level: 'notice', meaning: 'The daemon ends', fields: ['unfinished'],
+		number: 102, level: 'notice', meaning: 'The daemon stopped', fields: ['unfinished'],
 	},
 	edgeStarted: {
-		number: 110, level: 'notice', meaning: 'The edge daemon listens', fields: ['instance', 'zone', 'intake', 'peers', 'version'],
+		number: 110, level: 'notice', meaning: 'The edge daemon is listening', fields: ['instance', 'zone', 'intake', 'peers', 'version'],
 	},
 	edgeStopping: {
-		number: 111, level: 'notice', meaning: 'The edge daemon was told to stop', fields: ['inFlight', 'ownedTargets'],
+		number: 111, level: 'notice', meaning: 'The edge daemon is shutting down', fields: ['inFlight', 'ownedTargets'],
 	},
 	edgeStopped: {
-		number: 112, level: 'notice', meaning: 'The edge daemon ends', fields: ['inFlight'],
+		number: 112, level: 'notice', meaning: 'The edge daemon stopped', fields: ['inFlight'],
 	},
 	settingsReloaded: {
-		number: 113, level: 'notice', meaning: 'The settings file was read again', fields: ['outcome', 'detail'],
+		number: 113, level: 'notice', meaning: 'The settings file was reloaded', fields: ['outcome', 'detail'],
 	},
 	errorUnhandled: {
-		number: 114, level: 'alarm', meaning: 'A defect: an error reached the top of the process, which goes on', fields: ['detail'],
+		number: 114, level: 'alarm', meaning: 'An unhandled error was caught; the process continues', fields: ['detail'],
 	},
 	processPaused: {
-		number: 115, level: 'warning', meaning: 'The process stood still; what it believed before may be out of date', fields: ['milliseconds'],
+		number: 115, level: 'warning', meaning: 'The process was paused; its state may be out of date', fields: ['milliseconds'],
 	},
 	linesDropped: {
 		number: 116, level: 'warning', meaning: 'Log lines were dropped because standard output is not read fast enough', fields: ['lines'],
--- a/src/runtime/journal/json-lines-journal.ts
+++ b/src/runtime/journal/json-lines-journal.ts
@@ -1,4 +1,4 @@
-/** The journal of a daemon whose output is collected from standard output. */
+/** A journal that writes JSON lines to standard output. */
 import {write} from 'node:fs';
 import type {Clock} from '../../base/clock.js';
 import {eventCatalogue} from './event-catalogue.js';
@@ -7,34 +7,34 @@
 import {Journal} from './journal.js';
 
 const standardOutput = 1;
-/** Lines are written together: one system call for many. */
-const flushMilliseconds = 100;
-/** What may wait to be written. Beyond it lines are dropped and counted, so that a slow reader never holds up a request. */
+/** Batches the lines of an interval into one write. */
+const flushIntervalMilliseconds = 100;
+/** Limit of buffered output; lines beyond it are dropped and counted, so that a slow reader never blocks a request. */
 const bufferLimitBytes = 131_072;
 
 /**
- * Writes one JSON object a line: monotonic and wall time in milliseconds, number, name, fields. Writing happens beside the
- * event loop, one write at a time.
+ * Writes one JSON object per line with monotonic and wall time in milliseconds, number, name, level and fields. Writes are
+ * asynchronous, one at a time.
  */
 export class JsonLinesJournal extends Journal {
-	#lines: string[] = [];
-	#bytes = 0;
-	#dropped = 0;
+	#bufferedLines: string[] = [];
+	#bufferedBytes = 0;
+	#droppedLines = 0;
 	#isWriting = false;
 	#isScheduled = false;
 
-	constructor(private readonly clock: Clock, private readonly hasDetails: boolean, private readonly descriptor = standardOutput) {
+	constructor(private readonly clock: Clock, private readonly includesDetails: boolean, private readonly descriptor = standardOutput) {
 		super();
 	}
 
 	override record(event: EventName, fields: EventFields): void {
 		const {number, level} = eventCatalogue[event];
-		if (level === 'detail' && !this.hasDetails) {
+		if (level === 'detail' && !this.includesDetails) {
 			return;
 		}
 
-		if (this.#bytes > bufferLimitBytes) {
-			this.#dropped += 1;
+		if (this.#bufferedBytes > bufferLimitBytes) {
+			this.#droppedLines += 1;
 			return;
 		}
 
@@ -44,10 +44,10 @@
 		this.#schedule();
 	}
 
-	/** Writes what waits at once; for the end of the process. */
+	/** Resolves once all buffered lines are written; called before the process exits. */
 	async flush(): Promise<void> {
-		while (this.#lines.length > 0 || this.#isWriting) {
-			this.#flush();
+		while (this.#bufferedLines.length > 0 || this.#isWriting) {
+			this.#writeBatch();
 			await new Promise(resolve => {
 				setImmediate(resolve);
 			});
@@ -55,8 +55,8 @@
 	}
 
 	#add(line: string): void {
-		this.#lines.push(line);
-		this.#bytes += line.length + 1;
+		this.#bufferedLines.push(line);
+		this.#bufferedBytes += line.length + 1;
 	}
 
 	#schedule(): void {
@@ -65,32 +65,32 @@
 		}
 
 		this.#isScheduled = true;
-		this.clock.schedule(flushMilliseconds, () => {
+		this.clock.schedule(flushIntervalMilliseconds, () => {
 			this.#isScheduled = false;
-			this.#flush();
+			this.#writeBatch();
 		});
 	}
 
-	#flush(): void {
-		if (this.#isWriting || this.#lines.length === 0) {
+	#writeBatch(): void {
+		if (this.#isWriting || this.#bufferedLines.length === 0) {
 			return;
 		}
 
-		if (this.#dropped > 0) {
+		if (this.#droppedLines > 0) {
 			this.#add(JSON.stringify({
-				ms: Math.round(this.clock.now()), number: eventCatalogue.linesDropped.number, event: 'linesDropped', lines: this.#dropped,
+				ms: Math.round(this.clock.now()), number: eventCatalogue.linesDropped.number, event: 'linesDropped', lines: this.#droppedLines,
 			}));
-			this.#dropped = 0;
+			this.#droppedLines = 0;
 		}
 
-		const text = `${this.#lines.join('\n')}\n`;
-		this.#lines = [];
-		this.#bytes = 0;
+		const text = `${this.#bufferedLines.join('\n')}\n`;
+		this.#bufferedLines = [];
+		this.#bufferedBytes = 0;
 		this.#isWriting = true;
-		// A reader that is gone can't be told: the lines are lost, the service isn't.
+		// Write errors are ignored: logging must not fail the service.
 		write(this.descriptor, text, () => {
 			this.#isWriting = false;
-			if (this.#lines.length > 0) {
+			if (this.#bufferedLines.length > 0) {
 				this.#schedule();
 			}
 		});
