--- a/src/runtime/clock-gap.ts
+++ b/src/runtime/clock-gap.ts
@@ -1,4 +1,4 @@
-/** Time that another machine's steady clock counted and this one's did not. */
+/** A difference between the monotonic clocks of two machines. */
 
-/** `since` is the monotonic time from which on the two were compared. */
+/** Time that only the other machine's clock counted, since the local monotonic time `since`; both in milliseconds. */
 export type ClockGap = {readonly milliseconds: number; readonly since: number};
--- a/src/runtime/kernel/service-container.ts
+++ b/src/runtime/kernel/service-container.ts
@@ -1,23 +1,23 @@
-/** The services that contributions hand to the constructors of their parts. */
+/** Dependency injection container. */
 import type {ServiceKey} from './service-key.js';
 
-/** Holds one instance for each service key. Only contribution files and the wiring module ask it. */
+/** Holds one instance for each service key. Used only by contribution files and the wiring module. */
 export class ServiceContainer {
 	readonly #services = new Map<string, unknown>();
 
-	/** Registers a service; a second one under the same key is a defect of the wiring. */
+	/** Registers a service; throws if the key already has one. */
 	provide<Service>(key: ServiceKey<Service>, service: Service): void {
 		if (this.#services.has(key.name)) {
-			throw new Error(`service ${key.name} is provided twice`);
+			throw new Error(`service ${key.name} is already provided`);
 		}
 
 		this.#services.set(key.name, service);
 	}
 
-	/** Returns a service; asking for one that nobody provided is a defect of the wiring. */
+	/** Returns a service; throws if none was provided for the key. */
 	get<Service>(key: ServiceKey<Service>): Service {
 		if (!this.#services.has(key.name)) {
-			throw new Error(`service ${key.name} is asked for before anything provides it`);
+			throw new Error(`service ${key.name} is requested before it is provided`);
 		}
 
 		return this.#services.get(key.name) as Service;
--- a/src/runtime/kernel/service-key.ts
+++ b/src/runtime/kernel/service-key.ts
@@ -1,8 +1,8 @@
-/** Typed names of services. */
+/** Typed keys of services. */
 
-/** Names one service of the container; the type parameter is what the container hands out for it. */
+/** Identifies a service by name and carries its type. */
 export class ServiceKey<Service> {
-	/** Only for the compiler: ties the key to its service. */
+	/** Type-level only; has no value at run time. */
 	declare readonly service: Service;
 
 	constructor(readonly name: string) {}
--- a/src/runtime/pause-detector.ts
+++ b/src/runtime/pause-detector.ts
@@ -1,108 +1,108 @@
-/** Notices that the process stood still. */
+/** Detection of process pauses. */
 import type {Clock} from '../base/clock.js';
 import type {Disposable} from '../base/disposable.js';
 import {Emitter} from '../base/emitter.js';
 import {repeat} from '../base/repeat.js';
 import {wait} from '../base/wait.js';
-import type {Pause} from './pause.js';
 import type {ClockGap} from './clock-gap.js';
+import type {Pause} from './pause.js';
 
-const checkMilliseconds = 100;
-/** Callers submit elsewhere no sooner after a loss. */
-const resubmissionMilliseconds = 1200;
-/** Above what a busy event loop or a slow machine delays a timer by, below the time after which others take an entry as lost. */
-const pauseMilliseconds = 500;
+const checkIntervalMilliseconds = 100;
+/** Callers resubmit a job elsewhere no sooner than this after losing an entry. */
+const confirmedPauseThresholdMilliseconds = 1200;
+/** Above the timer delays of a busy event loop, below the time after which peers declare an entry lost. */
+const pauseThresholdMilliseconds = 500;
 
-/** Some rounds of the event loop of a slow machine that has much to read: what had arrived during the pause is read by then. */
-const wakingMilliseconds = 60;
+/** Time after a pause in which the event loop reads all input that arrived during the pause. */
+const resumeDelayMilliseconds = 60;
 
 /**
- * Compares both clocks with the timer's period. A machine that is suspended stops its steady clock, and only the time of day
- * shows the gap; a stopped process shows it on both. A time of day that was set forward looks the same as a suspension, and
- * listeners have to take that well: the event says that something may have been missed, not that it was.
+ * Compares the monotonic clock and the wall clock with the period of a timer. A stopped process shows a gap on both clocks;
+ * a suspended machine only on the wall clock, which can't be told from a clock adjustment. Listeners of `onDidPause` must
+ * therefore tolerate false positives.
  */
 export class PauseDetector implements Disposable {
-	readonly #pause = new Emitter<Pause>();
-	readonly #standstill = new Emitter<number>();
+	readonly #suspectedPause = new Emitter<Pause>();
+	readonly #confirmedPause = new Emitter<number>();
 	readonly #timer: Disposable;
-	#steady: number;
-	#wall: number;
-	#wokeAt = Number.NEGATIVE_INFINITY;
-	#stoodStillAt = Number.NEGATIVE_INFINITY;
+	#lastMonotonicTime: number;
+	#lastWallTime: number;
+	#resumedAt = Number.NEGATIVE_INFINITY;
+	#pauseConfirmedAt = Number.NEGATIVE_INFINITY;
 
 	constructor(private readonly clock: Clock) {
-		this.#steady = clock.now();
-		this.#wall = clock.wallTime();
-		this.#timer = repeat(clock, checkMilliseconds, () => {
+		this.#lastMonotonicTime = clock.now();
+		this.#lastWallTime = clock.wallTime();
+		this.#timer = repeat(clock, checkIntervalMilliseconds, () => {
 			this.check();
 		});
 	}
 
-	/** Whether the process may just have stood still: what it believes isn't to be acted on. */
+	/** Whether the process may just have resumed from a pause; its state may be stale. */
 	get isResuming(): boolean {
-		return this.clock.now() < this.#wokeAt + wakingMilliseconds;
+		return this.clock.now() < this.#resumedAt + resumeDelayMilliseconds;
 	}
 
-	/** Fires after what may have been a pause. */
+	/** Fires after a possible pause. */
 	get onDidPause() {
-		return this.#pause.event;
+		return this.#suspectedPause.event;
 	}
 
-	/** Fires where a pause is certain, and as long as that others have gone on without this process; before anything that follows. */
+	/** Fires with the length in milliseconds of a confirmed pause that was long enough for peers to have taken over. */
 	get onDidConfirmPause() {
-		return this.#standstill.event;
+		return this.#confirmedPause.event;
 	}
 
-	/** Compares the clocks now: after a pause messages may be read before the timer has fired. */
+	/** Compares the clocks now, since messages may be read before the timer fires after a pause. */
 	check(): void {
 		const now = this.clock.now();
 		const wall = this.clock.wallTime();
-		const counted = now - this.#steady;
-		const elapsed = Math.max(counted, wall - this.#wall);
-		this.#steady = now;
-		this.#wall = wall;
-		if (elapsed > pauseMilliseconds) {
-			this.#wokeAt = now;
-			this.#pause.fire({milliseconds: elapsed, monotonicMilliseconds: counted});
+		const monotonicMilliseconds = now - this.#lastMonotonicTime;
+		const elapsed = Math.max(monotonicMilliseconds, wall - this.#lastWallTime);
+		this.#lastMonotonicTime = now;
+		this.#lastWallTime = wall;
+		if (elapsed > pauseThresholdMilliseconds) {
+			this.#resumedAt = now;
+			this.#suspectedPause.fire({milliseconds: elapsed, monotonicMilliseconds});
 		}
 
-		if (counted > resubmissionMilliseconds) {
-			this.#standStill(counted);
+		if (monotonicMilliseconds > confirmedPauseThresholdMilliseconds) {
+			this.#confirmPause(monotonicMilliseconds);
 		}
 	}
 
-	/** Others say that this process was gone: until it's known better it may have stood still. */
+	/** Assumes a pause, because peers reported this process as lost. */
 	suspectPause(): void {
-		this.#wokeAt = this.clock.now();
+		this.#resumedAt = this.clock.now();
 	}
 
-	/** Takes how another machine's steady clock compares; several of them show the same pause. */
+	/** Confirms a pause from a gap to another machine's monotonic clock; reports of the same pause count once. */
 	reportClockGap({milliseconds, since}: ClockGap): void {
-		if (milliseconds > resubmissionMilliseconds && since > this.#stoodStillAt) {
-			this.#standStill(milliseconds);
+		if (milliseconds > confirmedPauseThresholdMilliseconds && since > this.#pauseConfirmedAt) {
+			this.#confirmPause(milliseconds);
 		}
 	}
 
 	/**
-	 * Resolves at once, but some time after a pause. What is read just after a pause may have been sent long before: whoever
-	 * sent it may have given up since, which shows when the end of the connection is read as well.
+	 * Resolves at once, or shortly after a pause. A request that is read right after a pause may be stale; the delay lets the
+	 * close of its connection be read as well.
 	 */
 	async whenResumed(): Promise<void> {
 		this.check();
-		const left = this.#wokeAt + wakingMilliseconds - this.clock.now();
-		if (left > 0) {
-			await wait(this.clock, left);
+		const remaining = this.#resumedAt + resumeDelayMilliseconds - this.clock.now();
+		if (remaining > 0) {
+			await wait(this.clock, remaining);
 		}
 	}
 
 	dispose(): void {
 		this.#timer.dispose();
-		this.#pause.dispose();
-		this.#standstill.dispose();
+		this.#suspectedPause.dispose();
+		this.#confirmedPause.dispose();
 	}
 
-	#standStill(milliseconds: number): void {
-		this.#stoodStillAt = this.clock.now();
-		this.#standstill.fire(milliseconds);
+	#confirmPause(milliseconds: number): void {
+		this.#pauseConfirmedAt = this.clock.now();
+		this.#confirmedPause.fire(milliseconds);
 	}
 }
--- a/src/runtime/pause.ts
+++ b/src/runtime/pause.ts
@@ -1,4 +1,4 @@
-/** What may have been a pause of the process, as its clocks show it. */
+/** A possible pause of the process. */
 
-/** `milliseconds` is the most that any clock shows; of these the steady clock counted `counted`. */
+/** `milliseconds` is the larger gap of the wall clock and the monotonic clock; `monotonicMilliseconds` that of the latter. */
 export type Pause = {readonly milliseconds: number; readonly monotonicMilliseconds: number};
--- a/src/runtime/runtime-keys.ts
+++ b/src/runtime/runtime-keys.ts
@@ -1,4 +1,4 @@
-/** The container's names for the platform's services. */
+/** Service keys of the runtime layer. */
 import type {Clock} from '../base/clock.js';
 import type {Random} from '../base/random.js';
 import type {InstanceList} from './instances/instance-list.js';
--- a/test/runtime/kernel/kernel.test.ts
+++ b/test/runtime/kernel/kernel.test.ts
@@ -1,4 +1,4 @@
-/** Features register themselves and are activated in the order of their needs. */
+/** Tests of the activation order of contributions and of dependency errors. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {Contribution} from '../../../src/runtime/kernel/contribution.js';
@@ -7,7 +7,7 @@
 import {ServiceContainer} from '../../../src/runtime/kernel/service-container.js';
 import {ServiceKey} from '../../../src/runtime/kernel/service-key.js';
 
-class Recorded extends Contribution {
+class RecordedContribution extends Contribution {
 	constructor(override readonly name: string, override readonly requires: readonly string[], private readonly order: string[]) {
 		super();
 	}
@@ -22,25 +22,25 @@
 	}
 }
 
-test('a contribution comes after those it requires, and goes before them', () => {
+test('contributions are activated after their dependencies and disposed of before them', () => {
 	const order: string[] = [];
-	contributions.register(new Recorded('roof', ['walls'], order));
-	contributions.register(new Recorded('walls', [], order));
+	contributions.register(new RecordedContribution('consumer', ['provider'], order));
+	contributions.register(new RecordedContribution('provider', [], order));
 	const kernel = new Kernel(new ServiceContainer());
 	kernel.activate();
 	kernel.dispose();
-	assert.deepEqual(order, ['+walls', '+roof', '-roof', '-walls']);
+	assert.deepEqual(order, ['+provider', '+consumer', '-consumer', '-provider']);
 });
 
-test('a requirement that nobody registered, and a circle of them, are named', () => {
-	assert.throws(() => contributions.get('cellar'), /contribution cellar is required but not registered/v);
-	contributions.register(new Recorded('hen', ['egg'], []));
-	contributions.register(new Recorded('egg', ['hen'], []));
+test('errors name a missing dependency and the path of a circular one', () => {
+	assert.throws(() => contributions.get('missing'), /contribution missing is required but not registered/v);
+	contributions.register(new RecordedContribution('first', ['second'], []));
+	contributions.register(new RecordedContribution('second', ['first'], []));
 	assert.throws(() => {
 		new Kernel(new ServiceContainer()).activate();
-	}, /hen → egg → hen/v);
+	}, /first → second → first/v);
 });
 
-test('a service that nobody provides is named', () => {
+test('the error for a missing service names it', () => {
 	assert.throws(() => new ServiceContainer().get(new ServiceKey('clock')), /service clock/v);
 });
--- a/test/runtime/pause-detector.test.ts
+++ b/test/runtime/pause-detector.test.ts
@@ -1,14 +1,14 @@
-/** Pauses, as the two clocks show them. */
+/** Tests of pause detection by the monotonic clock and the wall clock. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {PauseDetector} from '../../src/runtime/pause-detector.js';
 import {FakeClock} from '../support/fake-clock.js';
 
-test('a process that was stopped notices it when it goes on, and a process that runs notices nothing', () => {
+test('a stopped process detects the pause when it continues, and a running process detects none', () => {
 	const clock = new FakeClock();
-	const watch = new PauseDetector(clock);
+	const detector = new PauseDetector(clock);
 	const pauses: number[] = [];
-	watch.onDidPause(({milliseconds}) => {
+	detector.onDidPause(({milliseconds}) => {
 		pauses.push(milliseconds);
 	});
 	clock.advance(5000);
@@ -19,13 +19,12 @@
 	assert.equal(pauses[0]! >= 4000, true);
 });
 
-// A machine is suspended: its steady clock stands still, so that everything seems as fresh as before. Only the time of day
-// shows that it was away.
-test('a suspension shows on the time of day alone', () => {
+// Guards against missing the suspension of a machine, which stops its monotonic clock.
+test('a suspension is detected by the wall clock alone', () => {
 	const clock = new FakeClock();
-	const watch = new PauseDetector(clock);
+	const detector = new PauseDetector(clock);
 	const pauses: number[] = [];
-	watch.onDidPause(({milliseconds}) => {
+	detector.onDidPause(({milliseconds}) => {
 		pauses.push(milliseconds);
 	});
 	clock.advance(1000);
@@ -34,63 +33,62 @@
 	assert.deepEqual(pauses, [6100]);
 });
 
-// An entry is stopped for seconds. A request that arrived in that time is read before the end of its connection is, and its
-// caller has submitted the job to another entry since: begun at once, its tasks would run twice at a time.
-test('what is read just after a pause has to wait, whether the timer has fired or not', async () => {
+// Guards against running a request that arrived during a pause and that its caller has since submitted to another entry.
+test('input that is read right after a pause is delayed, whether or not the timer has fired', async () => {
 	const clock = new FakeClock();
-	const watch = new PauseDetector(clock);
-	const passed: string[] = [];
+	const detector = new PauseDetector(clock);
+	const resumed: string[] = [];
 	const read = async (name: string) => {
-		await watch.whenResumed();
-		passed.push(name);
+		await detector.whenResumed();
+		resumed.push(name);
 	};
 
 	await read('before');
 	clock.jumpWall(3000);
 	const reading = read('after');
 	await Promise.resolve();
-	assert.deepEqual(passed, ['before']);
+	assert.deepEqual(resumed, ['before']);
 	clock.advance(60);
 	await reading;
 	await read('later');
-	assert.deepEqual(passed, ['before', 'after', 'later']);
+	assert.deepEqual(resumed, ['before', 'after', 'later']);
 });
 
-function standstillsOf(watch: PauseDetector): number[] {
-	const standstills: number[] = [];
-	watch.onDidConfirmPause(milliseconds => {
-		standstills.push(milliseconds);
+function confirmedPausesOf(detector: PauseDetector): number[] {
+	const confirmedPauses: number[] = [];
+	detector.onDidConfirmPause(milliseconds => {
+		confirmedPauses.push(milliseconds);
 	});
-	return standstills;
+	return confirmedPauses;
 }
 
-// Guards against an entry that reads messages after a pause before its timers have shown it.
-test('a standstill is noticed by whoever looks first, and a step of the time of day is none', () => {
+// Guards against handling messages after a pause before the timer has detected it.
+test('an explicit check confirms a pause, and a step of the wall clock alone does not', () => {
 	const clock = new FakeClock();
-	const watch = new PauseDetector(clock);
-	const standstills = standstillsOf(watch);
+	const detector = new PauseDetector(clock);
+	const confirmedPauses = confirmedPausesOf(detector);
 	clock.jumpWall(5000);
-	watch.check();
-	assert.deepEqual(standstills, []);
+	detector.check();
+	assert.deepEqual(confirmedPauses, []);
 	clock.sleep(4000);
-	watch.check();
-	assert.deepEqual(standstills, [4000]);
+	detector.check();
+	assert.deepEqual(confirmedPauses, [4000]);
 	clock.advance(1000);
-	assert.deepEqual(standstills, [4000]);
+	assert.deepEqual(confirmedPauses, [4000]);
 });
 
-// Guards against a suspended machine, whose clocks count nothing of it, that acts on its targets' former leases.
-test('a suspension shows once on the clocks of all targets', () => {
+// Guards against relying on expired leases after a suspension that no local clock shows.
+test('clock gaps of several targets confirm a suspension once', () => {
 	const clock = new FakeClock();
-	const watch = new PauseDetector(clock);
-	const standstills = standstillsOf(watch);
+	const detector = new PauseDetector(clock);
+	const confirmedPauses = confirmedPausesOf(detector);
 	const since = clock.now();
 	clock.advance(50);
-	watch.reportClockGap({milliseconds: 300, since});
-	watch.reportClockGap({milliseconds: 3000, since});
-	watch.reportClockGap({milliseconds: 3010, since: since + 20});
-	assert.deepEqual(standstills, [3000]);
+	detector.reportClockGap({milliseconds: 300, since});
+	detector.reportClockGap({milliseconds: 3000, since});
+	detector.reportClockGap({milliseconds: 3010, since: since + 20});
+	assert.deepEqual(confirmedPauses, [3000]);
 	clock.advance(50);
-	watch.reportClockGap({milliseconds: 2000, since: since + 60});
-	assert.deepEqual(standstills, [3000, 2000]);
+	detector.reportClockGap({milliseconds: 2000, since: since + 60});
+	assert.deepEqual(confirmedPauses, [3000, 2000]);
 });
