--- a/src/runtime/peers/accepted-connection.ts
+++ b/src/runtime/peers/accepted-connection.ts
@@ -1,19 +1,19 @@
-/** The listening end of a peer connection. */
+/** The accepting side of a peer connection. */
 import type {Socket} from 'node:net';
 import type {z} from 'zod';
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
+import type {ConnectionListener} from './connection-listener.js';
 import {FrameSocket} from './frame-socket.js';
 import {handshake} from './handshake.js';
-import type {ConnectionListener} from './connection-listener.js';
 import type {Member} from './member.js';
 import type {peerFrameSchema} from './peer-frame.js';
 import type {TrafficCounter} from './traffic-counter.js';
 
-/** A stranger who connects and says nothing holds a socket for no longer than this. */
-const handshakeLimitMilliseconds = 2000;
-/** Above the dialer's own limit: a connection that is idle for good reason still gets pings. */
-const silenceLimitMilliseconds = 30_000;
+/** Closes connections that don't complete the handshake in time. */
+const handshakeTimeoutMilliseconds = 2000;
+/** Closes accepted connections without traffic; above the silence timeout of the dialer. */
+const idleTimeoutMilliseconds = 30_000;
 
 type Frame = z.output<typeof peerFrameSchema>;
 
@@ -27,43 +27,43 @@
 	readonly onDidClose: () => void;
 };
 
-/** Owns one accepted socket; nothing that comes before the proof reaches the features. */
+/** Owns one accepted socket and authenticates the peer; messages are delivered only after the handshake. */
 export class AcceptedConnection implements Disposable {
 	readonly #frames: FrameSocket;
 	readonly #nonce = handshake.nonce();
-	#claimed: Member | undefined;
+	#unverifiedPeer: Member | undefined;
 	#peer: Member | undefined;
-	readonly #limit: Disposable;
+	readonly #handshakeTimeout: Disposable;
 
 	constructor(private readonly parts: AcceptedConnectionParts) {
 		const {socket, clock, counter, onDidClose} = parts;
 		this.#frames = new FrameSocket(socket, counter, frame => {
 			this.#receive(frame);
 		}, () => {
-			this.#limit.dispose();
+			this.#handshakeTimeout.dispose();
 			onDidClose();
 		});
-		this.#limit = clock.schedule(handshakeLimitMilliseconds, () => {
-			this.#stranger('no handshake in time');
+		this.#handshakeTimeout = clock.schedule(handshakeTimeoutMilliseconds, () => {
+			this.#reject('handshake timed out');
 		});
-		socket.setTimeout(silenceLimitMilliseconds, () => {
+		socket.setTimeout(idleTimeoutMilliseconds, () => {
 			this.#frames.dispose();
 		});
 	}
 
 	dispose(): void {
-		this.#limit.dispose();
+		this.#handshakeTimeout.dispose();
 		this.#frames.dispose();
 	}
 
 	#receive(frame: Frame): void {
 		if (this.#peer !== undefined) {
-			this.#receiveFrom(this.#peer, frame);
+			this.#handleFrame(this.#peer, frame);
 			return;
 		}
 
-		if (frame.kind === 'hello' && this.#claimed === undefined) {
-			this.#claimed = frame.member;
+		if (frame.kind === 'hello' && this.#unverifiedPeer === undefined) {
+			this.#unverifiedPeer = frame.member;
 			const proof = handshake.proof(this.parts.key, 'listener', frame.nonce, this.parts.self.id);
 			this.#frames.send({
 				kind: 'welcome', version: 1, nonce: this.#nonce, proof, member: this.parts.self,
@@ -71,23 +71,23 @@
 			return;
 		}
 
-		this.#prove(frame);
+		this.#completeHandshake(frame);
 	}
 
-	#prove(frame: Frame): void {
-		const member = this.#claimed;
+	#completeHandshake(frame: Frame): void {
+		const member = this.#unverifiedPeer;
 		if (frame.kind !== 'proof' || member === undefined || !handshake.matches(handshake.proof(this.parts.key, 'dialer', this.#nonce, member.id), frame.proof)) {
-			this.#stranger('no proof of the shared key');
+			this.#reject('invalid proof of the shared key');
 			return;
 		}
 
-		this.#limit.dispose();
+		this.#handshakeTimeout.dispose();
 		this.#peer = member;
 		this.parts.listener.onHandshakeCompleted(member);
 		this.parts.listener.onFrameReceived(member);
 	}
 
-	#receiveFrom(member: Member, frame: Frame): void {
+	#handleFrame(member: Member, frame: Frame): void {
 		this.parts.listener.onFrameReceived(member);
 		if (frame.kind === 'ping') {
 			this.#frames.send({kind: 'pong', stamp: frame.stamp});
@@ -96,7 +96,7 @@
 		}
 	}
 
-	#stranger(detail: string): void {
+	#reject(detail: string): void {
 		this.parts.listener.onHandshakeFailed(detail);
 		this.#frames.dispose();
 	}
--- a/src/runtime/peers/connection-listener.ts
+++ b/src/runtime/peers/connection-listener.ts
@@ -1,20 +1,23 @@
-/** What a link tells its owner. */
+/** The owner of peer connections. */
 import type {Member} from './member.js';
 import type {PeerMessage} from './peer-message.js';
 
-/** The owner of links and accepted connections, as they see it; `onHeard` comes with every frame of a proved peer. */
+/** Callbacks and queries that peer connections use on their owner. */
 export type ConnectionListener = {
+	/** The peer was authenticated. */
 	readonly onHandshakeCompleted: (member: Member) => void;
+	/** Called for every frame from an authenticated peer. */
 	readonly onFrameReceived: (member: Member) => void;
-	/** The latest time on a peer's own clock that came from it; 0 before the first. */
+	/** The latest timestamp received from a peer, on the peer's own clock; 0 before the first. */
 	readonly lastStampOf: (member: Member) => number;
-	/** When something was sent last that a peer answered; 0 for never. */
+	/** Monotonic time at which the latest acknowledged message or ping was sent; 0 if there is none. */
 	readonly lastAcknowledgedAt: (member: Member) => number;
-	/** The peer answered something that was sent at the given monotonic time. */
+	/** The peer acknowledged a message or ping that was sent at the given monotonic time. */
 	readonly onAcknowledged: (member: Member, sentAt: number) => void;
+	/** A message arrived from an authenticated peer. */
 	readonly onMessage: (member: Member, message: PeerMessage & {readonly stamp: number; readonly echo: number}) => void;
-	/** The port answered that nobody listens there. */
+	/** The peer's port refused the connection. */
 	readonly onConnectionRefused: (peerAddress: string) => void;
-	/** Someone who doesn't hold the key, or doesn't speak the protocol. */
+	/** The other side doesn't have the shared key or doesn't follow the protocol. */
 	readonly onHandshakeFailed: (detail: string) => void;
 };
--- a/src/runtime/peers/decode-frame.ts
+++ b/src/runtime/peers/decode-frame.ts
@@ -1,4 +1,4 @@
-/** Decodes one frame. */
+/** Decoding of peer frames. */
 import {decode} from 'cbor-x';
 import type {z} from 'zod';
 import {peerFrameSchema} from './peer-frame.js';
@@ -6,20 +6,20 @@
 type Frame = z.output<typeof peerFrameSchema>;
 
 /**
- * The frame, or nothing where the bytes aren't one. What strangers may send, the handshake, is checked by schema. Messages and
- * pings count only after the handshake, from programs that know the key: for them the types of the fields are looked at
- * here, since a schema's check of every message would take much of a busy entry's processor time.
+ * Decodes a frame; returns undefined if it is invalid. Handshake frames come from unauthenticated peers and are validated by
+ * schema. Messages and pings are accepted only after the handshake; for them only the field types are checked, because
+ * schema validation of every message is expensive.
  */
 export function decodeFrame(bytes: Uint8Array): Frame | undefined {
 	try {
 		const value = decode(bytes) as Partial<Frame> | undefined;
-		return isTraffic(value) ? value : checkedHandshake(value);
+		return isMessageOrPing(value) ? value : parseHandshake(value);
 	} catch {
 		return undefined;
 	}
 }
 
-function isTraffic(value: Partial<Frame> | undefined): value is Extract<Frame, {kind: 'message' | 'ping' | 'pong'}> {
+function isMessageOrPing(value: Partial<Frame> | undefined): value is Extract<Frame, {kind: 'message' | 'ping' | 'pong'}> {
 	if (value?.kind === 'message') {
 		return typeof value.channel === 'string' && typeof value.stamp === 'number' && typeof value.echo === 'number';
 	}
@@ -27,7 +27,7 @@
 	return (value?.kind === 'ping' || value?.kind === 'pong') && typeof value.stamp === 'number';
 }
 
-function checkedHandshake(value: unknown): Frame | undefined {
+function parseHandshake(value: unknown): Frame | undefined {
 	const checked = peerFrameSchema.safeParse(value);
 	return checked.success ? checked.data : undefined;
 }
--- a/src/runtime/peers/encode-frame.ts
+++ b/src/runtime/peers/encode-frame.ts
@@ -1,10 +1,10 @@
-/** Makes frames for the peer connections. */
+/** Encoding of peer frames. */
 import {Buffer} from 'node:buffer';
 import {encode} from 'cbor-x';
 
 const headerBytes = 4;
 
-/** One value in CBOR behind its length of four bytes. */
+/** Encodes a value as CBOR, prefixed with its length as a 32-bit big-endian integer. */
 export function encodeFrame(value: unknown): Uint8Array {
 	const body = encode(value);
 	const frame = Buffer.allocUnsafe(headerBytes + body.length);
--- a/src/runtime/peers/frame-socket.ts
+++ b/src/runtime/peers/frame-socket.ts
@@ -1,21 +1,21 @@
-/** A socket that carries frames. */
+/** A socket that sends and receives frames. */
 import type {Socket} from 'node:net';
 import type {z} from 'zod';
 import type {Disposable} from '../../base/disposable.js';
+import {decodeFrame} from './decode-frame.js';
 import {encodeFrame} from './encode-frame.js';
 import {FrameReader} from './frame-reader.js';
 import type {peerFrameSchema} from './peer-frame.js';
-import {decodeFrame} from './decode-frame.js';
 import type {TrafficCounter} from './traffic-counter.js';
 
-/** Above any job's answer; a longer frame ends its connection. */
+/** Maximum size of a received frame; a longer frame closes the connection. */
 const frameLimitBytes = 8_388_608;
-/** What may wait in a socket before its messages are dropped: a peer that doesn't read must not fill the memory. */
+/** Limit of unsent bytes; frames beyond it are dropped, so that a slow peer can't exhaust the memory. */
 const writeBufferLimitBytes = 16_777_216;
 
 type Frame = z.output<typeof peerFrameSchema>;
 
-/** Owns a socket; garbage, a frame over the limit or an end of the connection closes it, and says why once. */
+/** Owns a socket and closes it on invalid or oversized frames; reports the reason for closing exactly once. */
 export class FrameSocket implements Disposable {
 	#isClosed = false;
 
@@ -44,7 +44,7 @@
 		}
 
 		const bytes = encodeFrame(frame);
-		this.counter.recordSent(bytes.length, labelOf(frame));
+		this.counter.recordSent(bytes.length, trafficLabel(frame));
 		this.socket.write(bytes);
 	}
 
@@ -56,14 +56,14 @@
 		this.counter.recordReceived(chunk.length);
 		const frames = reader.push(chunk);
 		if (frames === undefined) {
-			this.#close('frame over the limit');
+			this.#close('frame too large');
 			return;
 		}
 
 		for (const bytes of frames) {
 			const frame = decodeFrame(bytes);
 			if (frame === undefined) {
-				this.#close('unreadable frame');
+				this.#close('invalid frame');
 				return;
 			}
 
@@ -85,8 +85,8 @@
 	}
 }
 
-/** What a frame is, for the counts: a message's own kind stands in its body, or one level deeper. */
-function labelOf(frame: Frame): string {
+/** Label of a frame in the traffic statistics. The kind of a message is a field of its body, or of an object in its body. */
+function trafficLabel(frame: Frame): string {
 	if (frame.kind !== 'message') {
 		return frame.kind;
 	}
@@ -97,6 +97,6 @@
 
 	const body = frame.body as Readonly<Record<string, unknown>>;
 	const inner = Object.values(body).find(value => typeof value === 'object' && value !== null && 'kind' in value);
-	const kind = body.kind ?? (inner)?.kind;
+	const kind = body.kind ?? inner?.kind;
 	return `${frame.channel}/${String(kind)}`;
 }
--- a/src/runtime/peers/handshake.ts
+++ b/src/runtime/peers/handshake.ts
@@ -1,19 +1,21 @@
-/** The proof that both ends of a peer connection hold the shared key. */
+/** Mutual challenge-response authentication of peer connections. */
 import {createHmac, randomBytes, timingSafeEqual} from 'node:crypto';
 
 const nonceBytes = 16;
 
-/** Answers the other side's fresh nonce with a keyed hash, so that a recorded handshake can't be used again. */
+/** Both sides prove knowledge of the shared key by a keyed hash of the other's nonce, which prevents replay. */
 export const handshake = {
+	/** Returns a random challenge. */
 	nonce(): string {
 		return randomBytes(nonceBytes).toString('hex');
 	},
 
-	/** The role is part of the hash: what one side said can't be sent back to it as the other's proof. */
+	/** Returns the proof for a nonce. The role is part of the hash, which prevents reflection attacks. */
 	proof(key: string, role: 'dialer' | 'listener', nonce: string, identity: string): string {
 		return createHmac('sha256', key).update(`${role}|${nonce}|${identity}`).digest('hex');
 	},
 
+	/** Compares two proofs in constant time. */
 	matches(expected: string, given: string): boolean {
 		const left = new TextEncoder().encode(expected);
 		const right = new TextEncoder().encode(given);
--- a/src/runtime/peers/member.ts
+++ b/src/runtime/peers/member.ts
@@ -1,9 +1,9 @@
-/** An entry as its peers know it. */
+/** The identity of an entry in the peer network. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {InstanceId} from '../../base/instance-id.js';
 import type {MemberId} from '../../base/member-id.js';
 
-/** One life of an entry and where it listens for peers (`IP:port`). */
+/** One incarnation of an entry; `peerAddress` (`IP:port`) accepts peer connections. */
 export type Member = {
 	readonly id: MemberId;
 	readonly instance: InstanceId;
--- a/src/runtime/peers/outgoing-connection.ts
+++ b/src/runtime/peers/outgoing-connection.ts
@@ -1,11 +1,11 @@
-/** The dialing end of a peer connection. */
+/** The dialing side of a peer connection. */
 import type {z} from 'zod';
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
 import type {MemberId} from '../../base/member-id.js';
+import type {ConnectionListener} from './connection-listener.js';
 import {FrameSocket} from './frame-socket.js';
 import {handshake} from './handshake.js';
-import type {ConnectionListener} from './connection-listener.js';
 import type {Member} from './member.js';
 import type {peerFrameSchema} from './peer-frame.js';
 import type {PeerMessage} from './peer-message.js';
@@ -13,13 +13,13 @@
 import type {PeerTransport} from './peer-transport.js';
 import type {TrafficCounter} from './traffic-counter.js';
 
-/** Messages that wait for the connection; older ones are dropped, since their senders send again. */
+/** Limit of messages queued until the connection is established; the oldest are dropped, since senders retransmit. */
 const queueLimit = 512;
 
 type Frame = z.output<typeof peerFrameSchema>;
 type QueuedMessage = {readonly to: MemberId; readonly message: PeerMessage};
 
-type OutgoingLinkParts = {
+type OutgoingConnectionParts = {
 	readonly peerAddress: string;
 	readonly self: Member;
 	readonly key: string;
@@ -30,32 +30,33 @@
 	readonly timing: PeerTiming;
 };
 
-/** Owns the connection to one peer address, and keeps it alive while it's watched or used. */
+/** Owns the connection to one peer address and keeps it open while it is monitored or in use. */
 export class OutgoingConnection implements Disposable {
 	#socket: FrameSocket | undefined;
 	#peer: Member | undefined;
 	#nonce = '';
 	#queue: QueuedMessage[] = [];
-	#heardAt = 0;
-	#pingedAt = 0;
-	#usedAt: number;
+	#lastReceivedAt = 0;
+	#lastPingAt = 0;
+	#lastUsedAt: number;
 	#isDisposed = false;
 	#isConnected = false;
-	#hasMet = false;
-	#redial: Disposable | undefined;
+	#hasCompletedHandshake = false;
+	#reconnectTimer: Disposable | undefined;
 
-	constructor(private readonly parts: OutgoingLinkParts, public isMonitored: boolean) {
-		this.#usedAt = parts.clock.now();
+	constructor(private readonly parts: OutgoingConnectionParts, public isMonitored: boolean) {
+		this.#lastUsedAt = parts.clock.now();
 		this.#dial();
 	}
 
-	/** Whether somebody answered here once. */
+	/** Whether a handshake was ever completed at this address. */
 	get hasCompletedHandshake(): boolean {
-		return this.#hasMet;
+		return this.#hasCompletedHandshake;
 	}
 
+	/** Sends a message, or queues it until the connection is established. */
 	send(to: MemberId, message: PeerMessage): void {
-		this.#usedAt = this.parts.clock.now();
+		this.#lastUsedAt = this.parts.clock.now();
 		if (this.#peer !== undefined) {
 			this.#deliver({to, message});
 			return;
@@ -66,58 +67,58 @@
 			this.#queue.shift();
 		}
 
-		if (this.#socket === undefined && this.#redial === undefined) {
+		if (this.#socket === undefined && this.#reconnectTimer === undefined) {
 			this.#dial();
 		}
 	}
 
-	/** Dials, pings or closes as it's due; its owner calls this regularly. */
+	/** Dials, pings or closes the connection as needed; called periodically by the owner. */
 	check(): void {
 		if (this.#socket === undefined) {
-			if (this.#redial === undefined && this.#isWanted) {
+			if (this.#reconnectTimer === undefined && this.#shouldStayOpen) {
 				this.#dial();
 			}
 
 			return;
 		}
 
-		if (this.#peer === undefined && this.#isConnected && this.parts.clock.now() - this.#heardAt > this.parts.timing.silenceTimeout) {
-			// The connection has gone silent before its handshake was answered: nothing is pinged on it that could show so.
+		if (this.#peer === undefined && this.#isConnected && this.parts.clock.now() - this.#lastReceivedAt > this.parts.timing.silenceTimeout) {
+			// Pings start only after the handshake, so a connection that hangs before it must be closed here.
 			this.#socket.dispose();
 			return;
 		}
 
-		const aliveAt = this.#peer === undefined ? this.#heardAt : Math.max(this.#heardAt, this.parts.listener.lastAcknowledgedAt(this.#peer));
-		if (this.parts.clock.now() - aliveAt > this.parts.timing.silenceTimeout && this.#pingedAt > aliveAt) {
+		const lastActiveAt = this.#peer === undefined ? this.#lastReceivedAt : Math.max(this.#lastReceivedAt, this.parts.listener.lastAcknowledgedAt(this.#peer));
+		if (this.parts.clock.now() - lastActiveAt > this.parts.timing.silenceTimeout && this.#lastPingAt > lastActiveAt) {
 			this.#socket.dispose();
 			return;
 		}
 
-		if (this.#peer !== undefined && this.#isWanted && this.#isQuiet(this.#peer)) {
-			this.#pingedAt = this.parts.clock.now();
-			this.#socket.send({kind: 'ping', stamp: this.#pingedAt});
+		if (this.#peer !== undefined && this.#shouldStayOpen && this.#isPingDue(this.#peer)) {
+			this.#lastPingAt = this.parts.clock.now();
+			this.#socket.send({kind: 'ping', stamp: this.#lastPingAt});
 		}
 	}
 
 	dispose(): void {
 		this.#isDisposed = true;
-		this.#redial?.dispose();
+		this.#reconnectTimer?.dispose();
 		this.#socket?.dispose();
 	}
 
-	get #isWanted(): boolean {
-		// An address that never answered is dialled until it does or refuses: as long as it does neither, nobody can tell
-		// whether an entry is there, and its zone's newcomers wait.
-		return !this.#hasMet || this.isMonitored || this.parts.clock.now() - this.#usedAt < this.parts.timing.idleTimeout;
+	get #shouldStayOpen(): boolean {
+		// An address without a completed handshake is redialled until it responds or refuses, because joining entries wait to
+		// learn whether it has an entry.
+		return !this.#hasCompletedHandshake || this.isMonitored || this.parts.clock.now() - this.#lastUsedAt < this.parts.timing.idleTimeout;
 	}
 
-	#isQuiet(peer: Member): boolean {
-		// What comes from the peer over its own connection says nothing of this one: only an answer does.
+	#isPingDue(peer: Member): boolean {
+		// Only acknowledgements count: frames may also arrive over the connection that the peer opened.
 		return this.parts.clock.now() - this.parts.listener.lastAcknowledgedAt(peer) >= this.parts.timing.pingInterval;
 	}
 
 	#dial(): void {
-		this.#redial = undefined;
+		this.#reconnectTimer = undefined;
 		if (this.#isDisposed) {
 			return;
 		}
@@ -132,12 +133,12 @@
 		});
 		socket.setTimeout(this.parts.timing.connectTimeout);
 		this.#isConnected = false;
-		this.#heardAt = this.parts.clock.now();
+		this.#lastReceivedAt = this.parts.clock.now();
 		this.#nonce = handshake.nonce();
 		const frames = new FrameSocket(socket, this.parts.counter, frame => {
 			this.#receive(frame);
 		}, reason => {
-			this.#closed(frames, reason);
+			this.#handleClose(frames, reason);
 		});
 		this.#socket = frames;
 		socket.on('timeout', () => {
@@ -146,7 +147,7 @@
 	}
 
 	#receive(frame: Frame): void {
-		this.#heardAt = this.parts.clock.now();
+		this.#lastReceivedAt = this.parts.clock.now();
 		if (this.#peer !== undefined) {
 			this.parts.listener.onFrameReceived(this.#peer);
 			if (frame.kind === 'message') {
@@ -158,19 +159,19 @@
 			return;
 		}
 
-		this.#prove(frame);
+		this.#completeHandshake(frame);
 	}
 
-	#prove(frame: Frame): void {
+	#completeHandshake(frame: Frame): void {
 		if (frame.kind !== 'welcome' || !handshake.matches(handshake.proof(this.parts.key, 'listener', this.#nonce, frame.member.id), frame.proof)) {
-			this.parts.listener.onHandshakeFailed(`listener at ${this.parts.peerAddress}`);
+			this.parts.listener.onHandshakeFailed(`invalid handshake from the listener at ${this.parts.peerAddress}`);
 			this.#socket?.dispose();
 			return;
 		}
 
 		this.#socket?.send({kind: 'proof', proof: handshake.proof(this.parts.key, 'dialer', frame.nonce, this.parts.self.id)});
 		this.#peer = frame.member;
-		this.#hasMet = true;
+		this.#hasCompletedHandshake = true;
 		this.parts.listener.onHandshakeCompleted(frame.member);
 		this.parts.listener.onFrameReceived(frame.member);
 		const queued = this.#queue;
@@ -180,7 +181,7 @@
 		}
 	}
 
-	/** A message to an earlier life is dropped: the present one doesn't know what the earlier one was told. */
+	/** Sends a message; drops it if it is addressed to a previous incarnation, whose state the current one doesn't share. */
 	#deliver(entry: QueuedMessage): void {
 		if (entry.to === this.#peer?.id) {
 			const stamp = Math.floor(this.parts.clock.now());
@@ -190,7 +191,7 @@
 		}
 	}
 
-	#closed(socket: FrameSocket, reason: string): void {
+	#handleClose(socket: FrameSocket, reason: string): void {
 		if (socket !== this.#socket) {
 			return;
 		}
@@ -201,8 +202,8 @@
 			this.parts.listener.onConnectionRefused(this.parts.peerAddress);
 		}
 
-		if (!this.#isDisposed && (this.#isWanted || this.#queue.length > 0)) {
-			this.#redial = this.parts.clock.schedule(this.parts.timing.redialDelay, () => {
+		if (!this.#isDisposed && (this.#shouldStayOpen || this.#queue.length > 0)) {
+			this.#reconnectTimer = this.parts.clock.schedule(this.parts.timing.redialDelay, () => {
 				this.#dial();
 			});
 		}
--- a/src/runtime/peers/peer-frame.ts
+++ b/src/runtime/peers/peer-frame.ts
@@ -1,4 +1,4 @@
-/** The frames of a peer connection. */
+/** Frames of the peer protocol. */
 import * as z from 'zod';
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {InstanceId} from '../../base/instance-id.js';
@@ -12,8 +12,8 @@
 });
 
 /**
- * The dialer says hello, the listener welcomes with its proof, the dialer proves itself; after that either side sends
- * messages, and pings that the other side answers. A version that isn't known is a stranger.
+ * The handshake consists of `hello` from the dialer, `welcome` with the listener's proof, and `proof` from the dialer. After
+ * it, both sides send messages and answer pings. Unknown versions are rejected.
  */
 export const peerFrameSchema = z.discriminatedUnion('kind', [
 	z.object({
@@ -27,11 +27,11 @@
 		kind: z.literal('message'),
 		channel: z.string().max(64),
 		body: z.unknown(),
-		/** The sender's own time, and the latest such time that it had from the receiver: traffic takes the pings' place. */
+		/** The sender's timestamp, and the latest timestamp it received from the other side, which acknowledges like a pong. */
 		stamp: z.number(),
 		echo: z.number(),
 	}),
-	/** The stamp is the pinging side's own, and comes back unread. */
+	/** The pong returns the timestamp of the ping unchanged. */
 	z.object({kind: z.literal('ping'), stamp: z.number()}),
 	z.object({kind: z.literal('pong'), stamp: z.number()}),
 ]);
--- a/src/runtime/peers/peer-message.ts
+++ b/src/runtime/peers/peer-message.ts
@@ -1,6 +1,6 @@
-/** What entries send to each other. */
+/** A message between entries. */
 
-/** A message for the feature that listens on the channel, which checks the body's shape itself. */
+/** A message on a feature's channel; the receiving feature validates the body. */
 export type PeerMessage = {
 	readonly channel: string;
 	readonly body: unknown;
--- a/src/runtime/peers/peer-network.ts
+++ b/src/runtime/peers/peer-network.ts
@@ -1,4 +1,4 @@
-/** Messages between entries. */
+/** Messaging between entries. */
 import type {Event} from '../../base/event.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {Member} from './member.js';
@@ -7,46 +7,49 @@
 import type {ReceivedMessage} from './received-message.js';
 
 /**
- * Delivers messages at most once, in order for each connection, or silently not at all: whoever needs an answer asks
- * for one and sends again. Messages to an earlier life of an entry are dropped.
+ * Delivers messages at most once and in order per connection. Lost messages are not reported: senders that need a response
+ * retransmit. Messages to a previous incarnation of an entry are dropped.
  */
 export abstract class PeerNetwork {
-	/** This entry's present life. */
+	/** The current incarnation of this entry. */
 	abstract readonly self: Member;
 
+	/** Traffic statistics since the start. */
 	abstract readonly traffic: PeerTraffic;
 
+	/** Fires for every message from an authenticated peer. */
 	abstract readonly onDidReceive: Event<ReceivedMessage>;
 
-	/** Fires when a handshake shows a life that wasn't known before. */
+	/** Fires when a handshake completes with an incarnation that was not known before. */
 	abstract readonly onDidDiscover: Event<Member>;
 
-	/** Fires when a member is proved gone: its port refuses connections, or a newer life answers there. */
+	/** Fires when a member is confirmed dead: its port refuses connections, or a newer incarnation responds there. */
 	abstract readonly onDidConfirmDeath: Event<MemberId>;
 
-	/** Fires when a listed address refuses connections although no member was ever met there. */
+	/** Fires when an address without a known member refuses connections. */
 	abstract readonly onDidRefuseConnection: Event<string>;
 
-	/** Fires when a connection to a known member is made anew: what was under way on the old one may be lost. */
+	/** Fires when a known member reconnects; messages in flight on the previous connection may be lost. */
 	abstract readonly onDidReconnect: Event<Member>;
 
+	/** Sends a message to a member, connecting first if necessary. */
 	abstract send(to: Member, message: PeerMessage): void;
 
-	/** Keeps connections to exactly these peer addresses open and checked by pings, besides those in use. */
+	/** Replaces the set of monitored peer addresses, whose connections are kept open and pinged. */
 	abstract monitor(peerAddresses: ReadonlySet<string>): void;
 
-	/** Dials these peer addresses once, so that their members are met; costs nothing while they aren't used. */
+	/** Connects to these peer addresses to discover their members; the connections are not kept alive afterwards. */
 	abstract discover(peerAddresses: ReadonlySet<string>): void;
 
-	/** Monotonic time of the last sign of life from a member; none if it never gave one. */
+	/** Monotonic time of the last frame from a member; undefined if there was none. */
 	abstract lastReceivedAt(member: MemberId): number | undefined;
 
-	/** Since when messages to a member wait for any sign of life from it; none where one came after the latest. */
+	/** Monotonic time of the first message to a member since its last frame; undefined if there is none. */
 	abstract unansweredSince(member: MemberId): number | undefined;
 
-	/** When something was sent last that a member answered: it heard of this entry then, or later. Monotonic. */
+	/** Monotonic time at which the latest message or ping that a member acknowledged was sent; undefined if there is none. */
 	abstract lastAcknowledgedAt(member: MemberId): number | undefined;
 
-	/** Takes a new life: peers see the present one as gone. */
+	/** Takes a new incarnation and closes all connections; peers see the previous incarnation as dead. */
 	abstract renewIncarnation(): void;
 }
--- a/src/runtime/peers/peer-timing.ts
+++ b/src/runtime/peers/peer-timing.ts
@@ -1,21 +1,17 @@
-/** How quickly the peer network notices what is wrong. */
+/** Timing of failure detection in the peer network. */
 
-/** All in milliseconds. */
+/** Intervals, timeouts and delays in milliseconds. */
 export type PeerTiming = {
-	/**
-	 * A peer that answered nothing for so long is asked for a sign of life while its connection is watched or used. Traffic
-	 * takes the place of pings.
-	 */
+	/** Time without an acknowledgement after which an open connection is pinged; acknowledged messages replace pings. */
 	readonly pingInterval: number;
-	/** How often connections are looked at. */
+	/** Interval at which connections are checked. */
 	readonly checkInterval: number;
-	/**
-	 * A connection without a sign of life for so long is given up and dialled anew: a network that lost track of it lets a
-	 * new one through. Whoever waits for an answer sends again on the new one.
-	 */
+	/** Time without a frame or acknowledgement after which a connection is closed and redialled. */
 	readonly silenceTimeout: number;
+	/** Timeout for establishing a connection. */
 	readonly connectTimeout: number;
+	/** Delay before a closed connection is redialled. */
 	readonly redialDelay: number;
-	/** A connection that nobody watches is pinged for so long after its last use. */
+	/** Time after its last use in which a connection that isn't monitored is kept alive. */
 	readonly idleTimeout: number;
 };
--- a/src/runtime/peers/peer-transport.ts
+++ b/src/runtime/peers/peer-transport.ts
@@ -1,11 +1,11 @@
-/** How the bytes between entries travel. */
+/** Transport of peer connections. */
 import type {Server, Socket} from 'node:net';
 
-/** TCP, or TLS over it; what the bytes mean is the same. */
+/** Creates sockets for the peer protocol. */
 export abstract class PeerTransport {
-	/** A server that hands out sockets that are ready for use. */
+	/** Creates a server that passes each accepted socket to the callback once data can be exchanged. */
 	abstract createServer(onSocket: (socket: Socket) => void): Server;
 
-	/** Dials, and calls back once the socket is ready for use; errors come as events of the socket. */
+	/** Connects to a server and calls back once data can be exchanged; errors are reported by the socket's events. */
 	abstract dial(host: string, port: number, onReady: () => void): Socket;
 }
--- a/src/runtime/peers/received-message.ts
+++ b/src/runtime/peers/received-message.ts
@@ -1,8 +1,8 @@
-/** A message with its sender. */
+/** A received message and its sender. */
 import type {Member} from './member.js';
 import type {PeerMessage} from './peer-message.js';
 
-/** The sender has proved that it holds the shared key. */
+/** A message from an authenticated peer. */
 export type ReceivedMessage = {
 	readonly from: Member;
 	readonly message: PeerMessage;
--- a/src/runtime/peers/tcp-peer-network.ts
+++ b/src/runtime/peers/tcp-peer-network.ts
@@ -1,4 +1,4 @@
-/** The peer network over TCP. */
+/** The peer network over TCP or TLS. */
 import type {AddressInfo, Server} from 'node:net';
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
@@ -9,8 +9,8 @@
 import {repeat} from '../../base/repeat.js';
 import type {Journal} from '../journal/journal.js';
 import {AcceptedConnection} from './accepted-connection.js';
-import {defaultPeerTiming} from './default-peer-timing.js';
 import type {ConnectionListener} from './connection-listener.js';
+import {defaultPeerTiming} from './default-peer-timing.js';
 import type {Member} from './member.js';
 import {OutgoingConnection} from './outgoing-connection.js';
 import type {PeerMessage} from './peer-message.js';
@@ -21,7 +21,7 @@
 import type {ReceivedMessage} from './received-message.js';
 import {TrafficCounter} from './traffic-counter.js';
 
-/** Who this entry is, and where it listens. */
+/** The entry's identity, listening address and peer options. */
 type Identity = {
 	readonly instance: InstanceId;
 	readonly zone: AvailabilityZone;
@@ -29,55 +29,55 @@
 	readonly port: number;
 	readonly key: string;
 	readonly transport: PeerTransport;
-	/** Where peers reach this entry, if not at its own address. */
+	/** `IP:port` at which peers reach this entry, if different from its own address and port. */
 	readonly advertised?: string;
-	/** The calm timing where absent. */
+	/** Defaults to `defaultPeerTiming`. */
 	readonly timing?: PeerTiming;
 };
 
-/** Owns the listening socket, all accepted connections, and one outgoing link for each peer address. */
+/** Owns the listening socket, the accepted connections, and one outgoing connection per peer address. */
 export class TcpPeerNetwork extends PeerNetwork implements Disposable {
 	readonly #server: Server;
 	readonly #counter = new TrafficCounter();
-	readonly #accepted = new Set<AcceptedConnection>();
-	readonly #links = new Map<string, OutgoingConnection>();
-	readonly #lives = new Map<string, Member>();
-	readonly #heard = new Map<MemberId, number>();
-	readonly #unanswered = new Map<MemberId, number>();
-	readonly #reconnect = new Emitter<Member>();
-	readonly #stamps = new Map<MemberId, number>();
-	readonly #reached = new Map<MemberId, number>();
-	readonly #receive = new Emitter<ReceivedMessage>();
-	readonly #meet = new Emitter<Member>();
-	readonly #proveDead = new Emitter<MemberId>();
-	readonly #refuse = new Emitter<string>();
-	readonly #dead = new Set<MemberId>();
-	#watched: ReadonlySet<string> = new Set();
-	/** Dialled until somebody there was met, watched or not. */
-	readonly #sought = new Set<string>();
+	readonly #acceptedConnections = new Set<AcceptedConnection>();
+	readonly #outgoingConnections = new Map<string, OutgoingConnection>();
+	readonly #membersByAddress = new Map<string, Member>();
+	readonly #lastReceivedAt = new Map<MemberId, number>();
+	readonly #unansweredSince = new Map<MemberId, number>();
+	readonly #reconnectEmitter = new Emitter<Member>();
+	readonly #lastStamps = new Map<MemberId, number>();
+	readonly #lastAcknowledgedAt = new Map<MemberId, number>();
+	readonly #receiveEmitter = new Emitter<ReceivedMessage>();
+	readonly #discoverEmitter = new Emitter<Member>();
+	readonly #confirmDeathEmitter = new Emitter<MemberId>();
+	readonly #refuseEmitter = new Emitter<string>();
+	readonly #deadMembers = new Set<MemberId>();
+	#monitoredAddresses: ReadonlySet<string> = new Set();
+	/** Addresses that are dialled until a member is discovered there, monitored or not. */
+	readonly #discoveryAddresses = new Set<string>();
 	#self: Member;
 	readonly #listener: ConnectionListener;
-	/** One for all links: a timer each would wake an entry of a large fleet all the time for nothing. */
-	readonly #checks: Disposable;
+	/** One timer for all connections, which limits wake-ups in large fleets. */
+	readonly #checkTimer: Disposable;
 
 	constructor(private readonly identity: Identity, private readonly clock: Clock, private readonly journal: Journal) {
 		super();
-		this.#self = this.#newLife(identity.port);
+		this.#self = this.#createIncarnation(identity.port);
 		this.#listener = this.#createListener();
-		this.#checks = repeat(clock, (identity.timing ?? defaultPeerTiming).checkInterval, () => {
-			for (const link of this.#links.values()) {
-				link.check();
+		this.#checkTimer = repeat(clock, (identity.timing ?? defaultPeerTiming).checkInterval, () => {
+			for (const connection of this.#outgoingConnections.values()) {
+				connection.check();
 			}
 		});
 		this.#server = identity.transport.createServer(socket => {
 			const connection = new AcceptedConnection({
-				...this.#linkParts(),
+				...this.#connectionParts(),
 				socket,
 				onDidClose: () => {
-					this.#accepted.delete(connection);
+					this.#acceptedConnections.delete(connection);
 				},
 			});
-			this.#accepted.add(connection);
+			this.#acceptedConnections.add(connection);
 		});
 	}
 
@@ -85,13 +85,13 @@
 		return this.#self;
 	}
 
-	/** The port that the system gave. */
+	/** The port that the server is listening on. */
 	get port(): number {
 		return (this.#server.address() as AddressInfo).port;
 	}
 
 	override get onDidReconnect() {
-		return this.#reconnect.event;
+		return this.#reconnectEmitter.event;
 	}
 
 	override get traffic(): PeerTraffic {
@@ -99,100 +99,100 @@
 	}
 
 	override get onDidReceive() {
-		return this.#receive.event;
+		return this.#receiveEmitter.event;
 	}
 
 	override get onDidDiscover() {
-		return this.#meet.event;
+		return this.#discoverEmitter.event;
 	}
 
 	override get onDidConfirmDeath() {
-		return this.#proveDead.event;
+		return this.#confirmDeathEmitter.event;
 	}
 
 	override get onDidRefuseConnection() {
-		return this.#refuse.event;
+		return this.#refuseEmitter.event;
 	}
 
-	/** Listens; with port 0 the system gives one. */
+	/** Starts listening; with port 0 the operating system assigns a port. Rejects if the address can't be bound. */
 	async listen(): Promise<void> {
 		await new Promise<void>((resolve, reject) => {
 			this.#server.once('error', reject);
 			this.#server.listen(this.identity.port, this.identity.address, resolve);
 		});
-		this.#self = this.#newLife(this.port);
+		this.#self = this.#createIncarnation(this.port);
 	}
 
 	override send(to: Member, message: PeerMessage): void {
-		if (!this.#unanswered.has(to.id)) {
-			this.#unanswered.set(to.id, this.clock.now());
+		if (!this.#unansweredSince.has(to.id)) {
+			this.#unansweredSince.set(to.id, this.clock.now());
 		}
 
-		this.#linkTo(to.peerAddress).send(to.id, message);
+		this.#connectionTo(to.peerAddress).send(to.id, message);
 	}
 
 	override monitor(peerAddresses: ReadonlySet<string>): void {
-		this.#watched = peerAddresses;
-		for (const [address, link] of this.#links) {
-			link.isMonitored = peerAddresses.has(address);
-			// Nobody waits to meet whoever is there, and the link would dial until it's answered.
-			if (!link.isMonitored && !link.hasCompletedHandshake && !this.#sought.has(address) && !this.#lives.has(address)) {
-				link.dispose();
-				this.#links.delete(address);
+		this.#monitoredAddresses = peerAddresses;
+		for (const [address, connection] of this.#outgoingConnections) {
+			connection.isMonitored = peerAddresses.has(address);
+			// Without a completed handshake the connection would be redialled for ever.
+			if (!connection.isMonitored && !connection.hasCompletedHandshake && !this.#discoveryAddresses.has(address) && !this.#membersByAddress.has(address)) {
+				connection.dispose();
+				this.#outgoingConnections.delete(address);
 			}
 		}
 
 		for (const address of peerAddresses) {
-			this.#linkTo(address);
+			this.#connectionTo(address);
 		}
 	}
 
 	override discover(peerAddresses: ReadonlySet<string>): void {
 		for (const address of peerAddresses) {
-			this.#sought.add(address);
-			this.#linkTo(address);
+			this.#discoveryAddresses.add(address);
+			this.#connectionTo(address);
 		}
 	}
 
 	override lastReceivedAt(member: MemberId): number | undefined {
-		return this.#heard.get(member);
+		return this.#lastReceivedAt.get(member);
 	}
 
 	override unansweredSince(member: MemberId): number | undefined {
-		return this.#unanswered.get(member);
+		return this.#unansweredSince.get(member);
 	}
 
 	override lastAcknowledgedAt(member: MemberId): number | undefined {
-		return this.#reached.get(member);
+		return this.#lastAcknowledgedAt.get(member);
 	}
 
 	override renewIncarnation(): void {
-		this.#self = this.#newLife(this.port);
+		this.#self = this.#createIncarnation(this.port);
 		this.#disconnect();
-		this.monitor(this.#watched);
+		this.monitor(this.#monitoredAddresses);
 	}
 
 	dispose(): void {
-		this.#checks.dispose();
+		this.#checkTimer.dispose();
 		this.#server.close();
 		this.#disconnect();
-		for (const emitter of [this.#receive, this.#meet, this.#proveDead, this.#refuse, this.#reconnect]) {
+		for (const emitter of [this.#receiveEmitter, this.#discoverEmitter, this.#confirmDeathEmitter, this.#refuseEmitter, this.#reconnectEmitter]) {
 			emitter.dispose();
 		}
 	}
 
 	#disconnect(): void {
-		for (const link of this.#links.values()) {
-			link.dispose();
+		for (const connection of this.#outgoingConnections.values()) {
+			connection.dispose();
 		}
 
-		this.#links.clear();
-		for (const connection of this.#accepted) {
+		this.#outgoingConnections.clear();
+		for (const connection of this.#acceptedConnections) {
 			connection.dispose();
 		}
 	}
 
-	#newLife(port: number): Member {
+	#createIncarnation(port: number): Member {
 		const {instance, zone, address, advertised} = this.identity;
 		const incarnation = `${this.clock.wallTime().toString(36)}${Math.floor(this.clock.now()).toString(36)}`;
 		return {
@@ -200,18 +200,18 @@
 		};
 	}
 
-	#linkTo(address: string): OutgoingConnection {
-		const known = this.#links.get(address);
-		if (known !== undefined) {
-			return known;
+	#connectionTo(address: string): OutgoingConnection {
+		const existing = this.#outgoingConnections.get(address);
+		if (existing !== undefined) {
+			return existing;
 		}
 
-		const link = new OutgoingConnection({...this.#linkParts(), peerAddress: address}, this.#watched.has(address));
-		this.#links.set(address, link);
-		return link;
+		const connection = new OutgoingConnection({...this.#connectionParts(), peerAddress: address}, this.#monitoredAddresses.has(address));
+		this.#outgoingConnections.set(address, connection);
+		return connection;
 	}
 
-	#linkParts() {
+	#connectionParts() {
 		return {
 			self: this.#self,
 			key: this.identity.key,
@@ -226,24 +226,24 @@
 	#createListener(): ConnectionListener {
 		return {
 			onHandshakeCompleted: member => {
-				this.#met(member);
+				this.#handleHandshake(member);
 			},
 			onFrameReceived: member => {
-				this.#unanswered.delete(member.id);
-				this.#heard.set(member.id, this.clock.now());
+				this.#unansweredSince.delete(member.id);
+				this.#lastReceivedAt.set(member.id, this.clock.now());
 			},
 			onAcknowledged: (member, sentAt) => {
-				this.#reached.set(member.id, Math.max(sentAt, this.#reached.get(member.id) ?? 0));
+				this.#lastAcknowledgedAt.set(member.id, Math.max(sentAt, this.#lastAcknowledgedAt.get(member.id) ?? 0));
 			},
-			lastStampOf: member => this.#stamps.get(member.id) ?? 0,
-			lastAcknowledgedAt: member => this.#reached.get(member.id) ?? 0,
+			lastStampOf: member => this.#lastStamps.get(member.id) ?? 0,
+			lastAcknowledgedAt: member => this.#lastAcknowledgedAt.get(member.id) ?? 0,
 			onMessage: (from, message) => {
-				this.#stamps.set(from.id, message.stamp);
-				this.#reached.set(from.id, Math.max(message.echo, this.#reached.get(from.id) ?? 0));
-				this.#receive.fire({from, message});
+				this.#lastStamps.set(from.id, message.stamp);
+				this.#lastAcknowledgedAt.set(from.id, Math.max(message.echo, this.#lastAcknowledgedAt.get(from.id) ?? 0));
+				this.#receiveEmitter.fire({from, message});
 			},
 			onConnectionRefused: address => {
-				this.#refused(address);
+				this.#handleRefusal(address);
 			},
 			onHandshakeFailed: detail => {
 				this.journal.record('strangerDropped', {detail});
@@ -251,49 +251,49 @@
 		};
 	}
 
-	#met(member: Member): void {
-		const earlier = this.#lives.get(member.peerAddress);
-		// A handshake of an earlier life may arrive after a later one was met; it must not bring that life back.
-		if (earlier?.id === member.id || this.#dead.has(member.id)) {
-			this.#reconnect.fire(member);
+	#handleHandshake(member: Member): void {
+		const previous = this.#membersByAddress.get(member.peerAddress);
+		// A delayed handshake of a dead incarnation must not revive it.
+		if (previous?.id === member.id || this.#deadMembers.has(member.id)) {
+			this.#reconnectEmitter.fire(member);
 			return;
 		}
 
-		this.#lives.set(member.peerAddress, member);
-		if (earlier !== undefined) {
-			this.#forget(earlier);
+		this.#membersByAddress.set(member.peerAddress, member);
+		if (previous !== undefined) {
+			this.#markDead(previous);
 		}
 
-		this.#meet.fire(member);
+		this.#discoverEmitter.fire(member);
 	}
 
-	#refused(address: string): void {
-		this.#dropUnwatched(address);
-		const member = this.#lives.get(address);
+	#handleRefusal(address: string): void {
+		this.#closeUnmonitored(address);
+		const member = this.#membersByAddress.get(address);
 		if (member === undefined) {
-			this.#refuse.fire(address);
+			this.#refuseEmitter.fire(address);
 			return;
 		}
 
-		this.#lives.delete(address);
-		this.#forget(member);
+		this.#membersByAddress.delete(address);
+		this.#markDead(member);
 	}
 
-	/** A port that refuses isn't dialled again unless it's listed, or somebody sends there. */
-	#dropUnwatched(address: string): void {
-		if (!this.#watched.has(address)) {
-			this.#links.get(address)?.dispose();
-			this.#links.delete(address);
+	/** Stops dialling an address that refuses connections, unless it is monitored; sending to it dials again. */
+	#closeUnmonitored(address: string): void {
+		if (!this.#monitoredAddresses.has(address)) {
+			this.#outgoingConnections.get(address)?.dispose();
+			this.#outgoingConnections.delete(address);
 		}
 	}
 
-	#forget(member: Member): void {
-		this.#dead.add(member.id);
-		// Whoever learns of the loss may still ask when the member was heard and reached last.
-		this.#proveDead.fire(member.id);
-		this.#heard.delete(member.id);
-		this.#reached.delete(member.id);
-		this.#stamps.delete(member.id);
-		this.#unanswered.delete(member.id);
+	#markDead(member: Member): void {
+		this.#deadMembers.add(member.id);
+		// Listeners may still query the member's last contact, so its state is deleted afterwards.
+		this.#confirmDeathEmitter.fire(member.id);
+		this.#lastReceivedAt.delete(member.id);
+		this.#lastAcknowledgedAt.delete(member.id);
+		this.#lastStamps.delete(member.id);
+		this.#unansweredSince.delete(member.id);
 	}
 }
--- a/src/runtime/peers/tcp-transport.ts
+++ b/src/runtime/peers/tcp-transport.ts
@@ -1,10 +1,10 @@
-/** Plain TCP between entries. */
+/** Plain TCP transport. */
 import {
 	connect, createServer, type Server, type Socket,
 } from 'node:net';
 import {PeerTransport} from './peer-transport.js';
 
-/** For networks that are trusted; the shared key still keeps strangers out. */
+/** Unencrypted transport for trusted networks; the handshake still authenticates peers. */
 export class TcpTransport extends PeerTransport {
 	override createServer(onSocket: (socket: Socket) => void): Server {
 		return createServer(onSocket);
--- a/src/runtime/peers/traffic-counter.ts
+++ b/src/runtime/peers/traffic-counter.ts
@@ -1,7 +1,7 @@
-/** Adds up what goes over the peer connections. */
+/** Traffic accounting of the peer connections. */
 import type {PeerTraffic} from './peer-traffic.js';
 
-/** One counter for all connections of an entry. */
+/** Counts frames and bytes of all peer connections of an entry. */
 export class TrafficCounter {
 	readonly #sentByKind = new Map<string, number>();
 	#sentFrames = 0;
--- a/test/runtime/peers/tcp-peer-network.test.ts
+++ b/test/runtime/peers/tcp-peer-network.test.ts
@@ -1,4 +1,4 @@
-/** The entries' network on real sockets: who is let in, and what the others learn. */
+/** Tests of the peer network on real sockets: authentication, delivery and failure detection. */
 import assert from 'node:assert/strict';
 import {readFileSync} from 'node:fs';
 import {connect, createServer, type AddressInfo} from 'node:net';
@@ -16,7 +16,7 @@
 import {Relay} from '../../../standins/relay.js';
 import {RecordingJournal} from '../../support/recording-journal.js';
 
-async function networkOf(instance: string, key = 'a shared key for tests', transport: PeerTransport = new TcpTransport()) {
+async function startNetwork(instance: string, key = 'a shared key for tests', transport: PeerTransport = new TcpTransport()) {
 	const journal = new RecordingJournal();
 	const network = new TcpPeerNetwork({
 		instance: instance as InstanceId, zone: 'zone-1' as AvailabilityZone, address: '127.0.0.1', port: 0, key, transport,
@@ -38,7 +38,7 @@
 	}
 }
 
-async function send(port: number, bytes: Uint8Array): Promise<void> {
+async function sendBytes(port: number, bytes: Uint8Array): Promise<void> {
 	const socket = connect(port, '127.0.0.1');
 	socket.on('error', () => undefined);
 	socket.write(bytes);
@@ -49,41 +49,41 @@
 	});
 }
 
-test('entries with the same key meet, and messages arrive', async () => {
-	const left = await networkOf('entry-1');
-	const right = await networkOf('entry-2');
-	left.network.send(right.network.self, {channel: 'test', body: 'seat 4'});
+test('entries with the same key connect and exchange messages', async () => {
+	const left = await startNetwork('entry-1');
+	const right = await startNetwork('entry-2');
+	left.network.send(right.network.self, {channel: 'test', body: 'hello'});
 	await until(() => right.received.length > 0);
-	assert.deepEqual(right.received, ['seat 4']);
+	assert.deepEqual(right.received, ['hello']);
 });
 
-test('a stranger without the key is dropped at either end, and the entry goes on', async () => {
-	const left = await networkOf('entry-1');
-	const stranger = await networkOf('stranger', 'another key, not ours');
-	stranger.network.send(left.network.self, {channel: 'test', body: 'forged'});
-	await until(() => stranger.journal.named('strangerDropped').length > 0);
-	const right = await networkOf('entry-2');
-	right.network.send(left.network.self, {channel: 'test', body: 'true'});
+test('a peer with a different key is rejected by both sides', async () => {
+	const left = await startNetwork('entry-1');
+	const impostor = await startNetwork('impostor', 'another key, not ours');
+	impostor.network.send(left.network.self, {channel: 'test', body: 'forged'});
+	await until(() => impostor.journal.named('strangerDropped').length > 0);
+	const right = await startNetwork('entry-2');
+	right.network.send(left.network.self, {channel: 'test', body: 'genuine'});
 	await until(() => left.received.length > 0);
-	assert.deepEqual(left.received, ['true']);
+	assert.deepEqual(left.received, ['genuine']);
 });
 
-test('garbage, an oversized frame and a message before the proof end their connections only', async () => {
-	const left = await networkOf('entry-1');
-	await send(left.network.port, new TextEncoder().encode('GET / HTTP/1.1\r\n\r\n'));
-	await send(left.network.port, Uint8Array.of(0xFF, 0xFF, 0xFF, 0xFF, 1));
-	await send(left.network.port, encodeFrame({
+test('invalid data, an oversized frame and a message before the handshake close only their own connection', async () => {
+	const left = await startNetwork('entry-1');
+	await sendBytes(left.network.port, new TextEncoder().encode('GET / HTTP/1.1\r\n\r\n'));
+	await sendBytes(left.network.port, Uint8Array.of(0xFF, 0xFF, 0xFF, 0xFF, 1));
+	await sendBytes(left.network.port, encodeFrame({
 		kind: 'message', channel: 'test', body: 'forged', stamp: 0, echo: 0,
 	}));
-	const right = await networkOf('entry-2');
-	right.network.send(left.network.self, {channel: 'test', body: 'true'});
+	const right = await startNetwork('entry-2');
+	right.network.send(left.network.self, {channel: 'test', body: 'genuine'});
 	await until(() => left.received.length > 0);
-	assert.deepEqual(left.received, ['true']);
+	assert.deepEqual(left.received, ['genuine']);
 });
 
-test('a refused connection proves a member gone', async () => {
-	const left = await networkOf('entry-1');
-	const right = await networkOf('entry-2');
+test('a refused connection confirms that a member is dead', async () => {
+	const left = await startNetwork('entry-1');
+	const right = await startNetwork('entry-2');
 	const dead: string[] = [];
 	left.network.onDidConfirmDeath(id => {
 		dead.push(id);
@@ -96,12 +96,12 @@
 	assert.deepEqual(dead, [right.network.self.id]);
 });
 
-test('a new life at an address proves the earlier one gone, and gets none of its messages', async () => {
-	const left = await networkOf('entry-1');
-	const right = await networkOf('entry-2');
-	const earlier = right.network.self;
-	left.network.monitor(new Set([earlier.peerAddress]));
-	left.network.send(earlier, {channel: 'test', body: 'first'});
+test('a new incarnation confirms the death of the previous one and does not get its messages', async () => {
+	const left = await startNetwork('entry-1');
+	const right = await startNetwork('entry-2');
+	const previous = right.network.self;
+	left.network.monitor(new Set([previous.peerAddress]));
+	left.network.send(previous, {channel: 'test', body: 'first'});
 	await until(() => right.received.length > 0);
 	const dead: string[] = [];
 	left.network.onDidConfirmDeath(id => {
@@ -110,27 +110,26 @@
 	await wait(2);
 	right.network.renewIncarnation();
 	await until(() => dead.length > 0);
-	left.network.send(earlier, {channel: 'test', body: 'for the earlier life'});
-	left.network.send(right.network.self, {channel: 'test', body: 'for the new life'});
+	left.network.send(previous, {channel: 'test', body: 'for the previous incarnation'});
+	left.network.send(right.network.self, {channel: 'test', body: 'for the new incarnation'});
 	await until(() => right.received.length > 1);
-	assert.deepEqual(right.received, ['first', 'for the new life']);
+	assert.deepEqual(right.received, ['first', 'for the new incarnation']);
 });
 
-test('over TLS, entries with certificates of the authority meet, and plain ones stay outside', async () => {
+test('over TLS, entries with certificates of the authority connect, and unencrypted ones are rejected', async () => {
 	const read = (name: string) => readFileSync(`test/runtime/peers/certificates/${name}.pem`, 'utf8');
 	const transport = new TlsTransport({certificate: read('certificate'), privateKey: read('private-key'), authority: read('certificate')});
-	const left = await networkOf('entry-1', undefined, transport);
-	const right = await networkOf('entry-2', undefined, transport);
-	const plain = await networkOf('plain');
+	const left = await startNetwork('entry-1', undefined, transport);
+	const right = await startNetwork('entry-2', undefined, transport);
+	const plain = await startNetwork('plain');
 	plain.network.send(left.network.self, {channel: 'test', body: 'plain'});
-	right.network.send(left.network.self, {channel: 'test', body: 'sealed'});
+	right.network.send(left.network.self, {channel: 'test', body: 'encrypted'});
 	await until(() => left.received.length > 0);
-	assert.deepEqual(left.received, ['sealed']);
+	assert.deepEqual(left.received, ['encrypted']);
 });
 
-test('an address that first breaks connections is dialled until somebody answers there', async () => {
-	// An entry is listed a moment before it can serve: whoever dials then finds a port that breaks the connection.
-	// A newcomer that gave up would wait forever for an entry that it never meets.
+test('an address that closes connections is redialled until a peer responds', async () => {
+	// Guards against never discovering an entry that was listed before it was ready.
 	const server = createServer(socket => {
 		socket.destroy();
 	});
@@ -138,15 +137,15 @@
 		server.listen(0, '127.0.0.1', resolve);
 	});
 	const {port} = server.address() as AddressInfo;
-	const left = await networkOf('entry-1');
-	const met: string[] = [];
+	const left = await startNetwork('entry-1');
+	const discovered: string[] = [];
 	left.network.onDidDiscover(member => {
-		met.push(member.instance);
+		discovered.push(member.instance);
 	});
 	left.network.discover(new Set([`127.0.0.1:${port}`]));
 	await wait(1500);
 	server.removeAllListeners('connection');
-	const right = await networkOf('entry-2');
+	const right = await startNetwork('entry-2');
 	server.on('connection', near => {
 		const far = connect(right.network.port, '127.0.0.1');
 		near.pipe(far).pipe(near);
@@ -154,12 +153,12 @@
 		far.on('error', () => undefined);
 		near.on('close', () => far.destroy());
 	});
-	await until(() => met.length > 0);
-	assert.deepEqual(met, ['entry-2']);
+	await until(() => discovered.length > 0);
+	assert.deepEqual(discovered, ['entry-2']);
 	server.close();
 });
 
-test('frames are cut out of the stream however it\'s split', () => {
+test('frames are extracted however the stream is split', () => {
 	const reader = new FrameReader(100);
 	const bytes = [...encodeFrame('one'), ...encodeFrame('two')];
 	const frames = bytes.flatMap(byte => reader.push(Uint8Array.of(byte)) ?? []);
@@ -167,10 +166,10 @@
 	assert.equal(new FrameReader(3).push(encodeFrame('too long')), undefined);
 });
 
-// Guards against a connection that goes silent before its handshake is answered and keeps two entries apart for good.
-test('a connection whose handshake is not answered is made anew', {timeout: 20_000}, async () => {
-	const left = await networkOf('entry-1');
-	const right = await networkOf('entry-2');
+// Guards against a connection that hangs during the handshake and is never replaced.
+test('a connection whose handshake gets no response is redialled', {timeout: 20_000}, async () => {
+	const left = await startNetwork('entry-1');
+	const right = await startNetwork('entry-2');
 	const relay = new Relay(false, false);
 	after(() => {
 		relay.close();
@@ -182,10 +181,10 @@
 	await wait(300);
 	relay.loseOpen();
 	relay.cut(() => false);
-	let met = 0;
+	let discovered = 0;
 	left.network.onDidDiscover(() => {
-		met += 1;
+		discovered += 1;
 	});
-	await until(() => met > 0);
-	assert.equal(met, 1);
+	await until(() => discovered > 0);
+	assert.equal(discovered, 1);
 });
