--- a/src/runtime/instances/http-instance-list.ts
+++ b/src/runtime/instances/http-instance-list.ts
@@ -1,4 +1,4 @@
-/** The instance list over HTTP; docs/INTERFACES.md gives the protocol. */
+/** HTTP client of the platform's instance list; docs/INTERFACES.md describes the protocol. */
 import {request} from 'undici';
 import * as z from 'zod';
 import {abortSignalOf} from '../../base/abort-signal-of.js';
@@ -14,8 +14,8 @@
 import {InstanceList} from './instance-list.js';
 import type {InstanceSnapshot} from './instance-snapshot.js';
 
-const periodMilliseconds = 2000;
-const timeoutMilliseconds = 2000;
+const pollIntervalMilliseconds = 2000;
+const requestTimeoutMilliseconds = 2000;
 
 const instanceSchema = z.object({
 	id: z.string().min(1).transform(id => id as InstanceId),
@@ -32,7 +32,7 @@
 });
 const listSchema = z.object({instances: z.array(z.unknown())});
 
-/** Reads `URL/instances` every two seconds; one unreadable row doesn't hide the others. */
+/** Polls `URL/instances` every two seconds; invalid rows are logged and skipped. */
 export class HttpInstanceList extends InstanceList implements Disposable {
 	readonly #emitter = new Emitter<InstanceSnapshot>();
 	readonly #cancellation = new CancellationSource();
@@ -52,7 +52,7 @@
 	}
 
 	start(): void {
-		void this.#loop();
+		void this.#poll();
 	}
 
 	dispose(): void {
@@ -60,26 +60,26 @@
 		this.#emitter.dispose();
 	}
 
-	async #loop(): Promise<void> {
+	async #poll(): Promise<void> {
 		while (!this.#cancellation.token.isCancellationRequested) {
-			await this.#readOnce();
-			await wait(this.clock, periodMilliseconds);
+			await this.#fetch();
+			await wait(this.clock, pollIntervalMilliseconds);
 		}
 	}
 
-	async #readOnce(): Promise<void> {
+	async #fetch(): Promise<void> {
 		const readAt = this.clock.now();
 		try {
-			const signal = abortSignalOf(timeoutMilliseconds, this.#cancellation.token);
+			const signal = abortSignalOf(requestTimeoutMilliseconds, this.#cancellation.token);
 			const response = await request(`${this.baseUrl}/instances`, {signal});
 			const rows = listSchema.parse(await response.body.json()).instances;
-			this.#accept({readAt, instances: rows.flatMap(row => this.#instanceOf(row))});
+			this.#handleSnapshot({readAt, instances: rows.flatMap(row => this.#parseInstance(row))});
 		} catch (error) {
-			this.#failed(error);
+			this.#handleFailure(error);
 		}
 	}
 
-	#accept(snapshot: InstanceSnapshot): void {
+	#handleSnapshot(snapshot: InstanceSnapshot): void {
 		if (this.#failures > 0) {
 			this.journal.record('instanceListBack', {failures: this.#failures});
 			this.#failures = 0;
@@ -89,7 +89,7 @@
 		this.#emitter.fire(snapshot);
 	}
 
-	#instanceOf(row: unknown): readonly Instance[] {
+	#parseInstance(row: unknown): readonly Instance[] {
 		const checked = instanceSchema.safeParse(row);
 		if (checked.success) {
 			return [checked.data];
@@ -99,7 +99,7 @@
 		return [];
 	}
 
-	#failed(error: unknown): void {
+	#handleFailure(error: unknown): void {
 		if (this.#cancellation.token.isCancellationRequested) {
 			return;
 		}
--- a/src/runtime/instances/instance-list.ts
+++ b/src/runtime/instances/instance-list.ts
@@ -1,12 +1,12 @@
-/** The platform's lagging list of instances. */
+/** Instances as listed by the platform. */
 import type {Event} from '../../base/event.js';
 import type {InstanceSnapshot} from './instance-snapshot.js';
 
-/** The adapter to the list. It keeps the last good reading when the platform is away. */
+/** An eventually consistent view of the platform's instances; keeps the last snapshot while the platform is unreachable. */
 export abstract class InstanceList {
-	/** Fires after every good reading, changed or not. */
+	/** Fires after each successful read, whether or not the list changed. */
 	abstract readonly onDidRead: Event<InstanceSnapshot>;
 
-	/** The last good reading; none before the first. */
+	/** The snapshot of the last successful read; undefined before the first. */
 	abstract readonly last: InstanceSnapshot | undefined;
 }
--- a/src/runtime/instances/instance-snapshot.ts
+++ b/src/runtime/instances/instance-snapshot.ts
@@ -1,7 +1,7 @@
-/** The instance list at one moment. */
+/** A snapshot of the instance list. */
 import type {Instance} from './instance.js';
 
-/** What the platform said last, and when (monotonic milliseconds) that reading was started. */
+/** The listed instances; `readAt` is the monotonic time in milliseconds at which the read started. */
 export type InstanceSnapshot = {
 	readonly instances: readonly Instance[];
 	readonly readAt: number;
--- a/src/runtime/instances/instance.ts
+++ b/src/runtime/instances/instance.ts
@@ -1,19 +1,19 @@
-/** An instance as the platform lists it. */
+/** An instance in the platform's list. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {InstanceId} from '../../base/instance-id.js';
 
-/** An entry of ours, or a worker that runs a target. Addresses are `IP:port`. */
+/** An entry, or a worker that runs a target. Addresses are `IP:port`. */
 export type Instance = {
 	readonly id: InstanceId;
 	readonly kind: 'entry' | 'target';
 	readonly zone: AvailabilityZone;
-	/** Where it serves HTTP. */
+	/** Address of its HTTP server. */
 	readonly address: string;
-	/** Where an entry listens for its peers. */
+	/** Address at which an entry accepts peer connections. */
 	readonly peerAddress?: string;
 	readonly state: 'live' | 'leaving';
 	readonly rack?: string;
-	/** Tasks that a target runs at once. */
+	/** Number of tasks that a target runs concurrently. */
 	readonly slots?: number;
 	readonly memoryMegabytes?: number;
 	readonly accelerators?: number;
--- a/src/runtime/metrics/metrics.ts
+++ b/src/runtime/metrics/metrics.ts
@@ -1,10 +1,13 @@
-/** Counters, gauges and timings for operators. */
+/** Operational metrics. */
 
-/** Sends measurements; never blocks and never fails its caller. Names are listed in docs/METRICS.md. */
+/** Records counters, gauges and timings without blocking or throwing; docs/METRICS.md lists their names. */
 export abstract class Metrics {
+	/** Increments a counter. */
 	abstract count(name: string, by?: number, tags?: Readonly<Record<string, string>>): void;
 
+	/** Sets the current value of a gauge. */
 	abstract gauge(name: string, value: number): void;
 
+	/** Adds a duration to a distribution. */
 	abstract timing(name: string, milliseconds: number, tags?: Readonly<Record<string, string>>): void;
 }
--- a/src/runtime/metrics/noop-metrics.ts
+++ b/src/runtime/metrics/noop-metrics.ts
@@ -1,17 +1,17 @@
 /** Metrics for an entry without a metrics server. */
 import {Metrics} from './metrics.js';
 
-/** Drops everything. */
+/** Discards all measurements. */
 export class NoopMetrics extends Metrics {
 	override count(): void {
-		// Nobody listens.
+		// Discarded.
 	}
 
 	override gauge(): void {
-		// Nobody listens.
+		// Discarded.
 	}
 
 	override timing(): void {
-		// Nobody listens.
+		// Discarded.
 	}
 }
--- a/src/runtime/metrics/statsd-metrics.ts
+++ b/src/runtime/metrics/statsd-metrics.ts
@@ -1,4 +1,4 @@
-/** Metrics over StatsD datagrams. */
+/** Metrics that are sent to a StatsD server over UDP. */
 import {StatsD} from 'hot-shots';
 import type {Disposable} from '../../base/disposable.js';
 import {Metrics} from './metrics.js';
@@ -6,7 +6,7 @@
 const maximumDatagramBytes = 1432;
 const flushIntervalMilliseconds = 1000;
 
-/** Buffers into datagrams with the prefix `savorylock.`; a lost datagram is a lost measurement. */
+/** Batches measurements, prefixed with `savorylock.` and tagged with the zone, into datagrams; lost datagrams are not resent. */
 export class StatsdMetrics extends Metrics implements Disposable {
 	readonly #client: StatsD;
 
@@ -20,7 +20,7 @@
 			maxBufferSize: maximumDatagramBytes,
 			bufferFlushInterval: flushIntervalMilliseconds,
 			errorHandler() {
-				// A metrics server that is away must not disturb the service: measurements are dropped.
+				// Send errors are ignored: metrics must not fail the service.
 			},
 		});
 	}
--- a/src/runtime/metrics/status-server.ts
+++ b/src/runtime/metrics/status-server.ts
@@ -1,22 +1,22 @@
-/** Short texts over HTTP, for those who watch a process. */
+/** A plain-text HTTP server for metrics and health checks. */
 import {createServer, type Server} from 'node:http';
 import type {Disposable} from '../../base/disposable.js';
 
-type Answer = {readonly status: number; readonly text: string};
+type StatusResponse = {readonly status: number; readonly text: string};
 
-/** Answers each request with what the function returns for its path. */
+/** Responds to every request with the status and text that the handler returns for the request's path. */
 export class StatusServer implements Disposable {
 	readonly #server: Server;
 
-	constructor(answer: (path: string) => Answer) {
+	constructor(handler: (path: string) => StatusResponse) {
 		this.#server = createServer((request, response) => {
-			const {status, text} = answer(request.url ?? '');
+			const {status, text} = handler(request.url ?? '');
 			response.writeHead(status, {'content-type': 'text/plain; version=0.0.4'});
 			response.end(text);
 		});
 	}
 
-	/** `IP:port`. */
+	/** Listens on `IP:port`; rejects if the address can't be bound. */
 	async listen(address: string): Promise<void> {
 		const [host, port] = address.split(':');
 		await new Promise<void>((resolve, reject) => {
--- a/src/runtime/metrics/text-metrics.ts
+++ b/src/runtime/metrics/text-metrics.ts
@@ -1,7 +1,7 @@
-/** Metrics that are fetched as text. */
+/** Metrics in the Prometheus text format. */
 import {Metrics} from './metrics.js';
 
-/** Upper bounds in milliseconds; they cover a target's answer at the lower end and the longest jobs at the upper. */
+/** Upper bounds of the histogram buckets in milliseconds. */
 const bucketBounds = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000] as const;
 
 type Tags = Readonly<Record<string, string>>;
@@ -9,7 +9,7 @@
 
 type Histogram = {readonly counts: number[]; sum: number; count: number};
 
-/** Counters, gauges and histograms in memory, in the text format that Prometheus reads. */
+/** Keeps counters, gauges and histograms in memory and renders them in the Prometheus text format. */
 export class TextMetrics extends Metrics {
 	readonly #counters = new Map<string, number>();
 	readonly #gauges = new Map<string, number>();
@@ -17,16 +17,16 @@
 	readonly #histograms = new Map<string, Histogram>();
 
 	override count(name: string, by = 1, tags: Tags = noTags): void {
-		const key = this.#keyOf(`${name}_total`, tags);
+		const key = this.#cachedKey(`${name}_total`, tags);
 		this.#counters.set(key, (this.#counters.get(key) ?? 0) + by);
 	}
 
 	override gauge(name: string, value: number): void {
-		this.#gauges.set(this.#keyOf(name, noTags), value);
+		this.#gauges.set(this.#cachedKey(name, noTags), value);
 	}
 
 	override timing(name: string, milliseconds: number, tags: Tags = noTags): void {
-		const key = this.#keyOf(`${name}_milliseconds`, tags);
+		const key = this.#cachedKey(`${name}_milliseconds`, tags);
 		const histogram = this.#histograms.get(key) ?? {counts: Array.from({length: bucketBounds.length}, () => 0), sum: 0, count: 0};
 		this.#histograms.set(key, histogram);
 		const bucket = bucketBounds.findIndex(bound => milliseconds <= bound);
@@ -38,7 +38,7 @@
 		histogram.count += 1;
 	}
 
-	/** All of them, a line each. */
+	/** Renders all metrics, one sample per line. */
 	render(): string {
 		const lines: string[] = [];
 		for (const [key, value] of [...this.#counters, ...this.#gauges]) {
@@ -46,28 +46,28 @@
 		}
 
 		for (const [key, histogram] of this.#histograms) {
-			lines.push(...linesOf(key, histogram));
+			lines.push(...renderHistogram(key, histogram));
 		}
 
 		return `${lines.join('\n')}\n`;
 	}
 
-	/** Callers that count often pass the same tags: the name isn't made anew for each count. */
-	#keyOf(name: string, tags: Tags): string {
+	/** Caches rendered keys by the identity of the tags object, which frequent callers reuse. */
+	#cachedKey(name: string, tags: Tags): string {
 		const keys = this.#keys.get(tags) ?? new Map<string, string>();
 		this.#keys.set(tags, keys);
-		const key = keys.get(name) ?? keyOf(name, tags);
+		const key = keys.get(name) ?? renderKey(name, tags);
 		keys.set(name, key);
 		return key;
 	}
 }
 
-function keyOf(name: string, tags: Tags): string {
+function renderKey(name: string, tags: Tags): string {
 	const labels = Object.entries(tags).map(([tag, value]) => `${tag}="${value}"`);
 	return `savorylock_${name}${labels.length === 0 ? '' : `{${labels.join(',')}}`}`;
 }
 
-function linesOf(key: string, {counts, sum, count}: Histogram): readonly string[] {
+function renderHistogram(key: string, {counts, sum, count}: Histogram): readonly string[] {
 	const [name = '', labels = ''] = key.split(/[\{\}]/v);
 	const suffixed = (suffix: string, label = '') => {
 		const all = [labels, label].filter(part => part !== '').join(',');
--- a/src/runtime/settings/checked-document.ts
+++ b/src/runtime/settings/checked-document.ts
@@ -1,7 +1,7 @@
-/** The result of reading a TOML document against a schema. */
+/** The result of validating a TOML document. */
 import type {SettingsProblem} from './settings-problem.js';
 
-/** The document's value, or everything that is wrong with it. */
+/** The validated value, or all problems that were found. */
 export type CheckedDocument<Value> =
 	| {readonly kind: 'valid'; readonly value: Value}
 	| {readonly kind: 'invalid'; readonly problems: readonly SettingsProblem[]};
--- a/src/runtime/settings/entry-settings.ts
+++ b/src/runtime/settings/entry-settings.ts
@@ -1,24 +1,24 @@
-/** The settings of an entry daemon. */
+/** Schema of the entry daemon's settings. */
 import * as z from 'zod';
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {InstanceId} from '../../base/instance-id.js';
 
-const portMaximum = 65_535;
-const port = z.int().min(0).max(portMaximum);
+const maximumPort = 65_535;
+const port = z.int().min(0).max(maximumPort);
 const url = z.url({protocol: /^https?$/v});
 const name = z.string().regex(/^[\w.\-]{1,64}$/v);
 
-/** The TOML file that docs/operations/settings.md describes; unknown keys are errors. */
+/** Schema of the settings file, described in docs/operations/settings.md; unknown keys are errors. */
 export const entrySettingsSchema = z.strictObject({
 	entry: z.strictObject({
 		instance: name.transform(text => text as InstanceId),
 		zone: name.transform(text => text as AvailabilityZone),
-		/** All zones of the installation, the same list in the same order on every entry. */
+		/** All zones of the installation; must be the same list in the same order on every entry. */
 		zones: z.array(name.transform(text => text as AvailabilityZone)).min(1).max(64),
 		address: z.ipv4(),
 		httpPort: port.default(0),
 		peerPort: port.default(0),
-		/** `IP:port` at which peers reach this entry, where that isn't its own address and port. */
+		/** `IP:port` at which peers reach this entry, if different from its own address and port. */
 		advertisedPeerAddress: z.string().regex(/^[\d.]+:\d+$/v).optional(),
 		drainMilliseconds: z.int().min(100).max(600_000).default(15_000),
 	}),
@@ -31,7 +31,7 @@
 	peers: z.strictObject({
 		/** Shared secret of all entries of an installation. */
 		key: z.string().min(16).max(256),
-		/** PEM files; with all three, entries talk over TLS and show each other certificates of the authority. */
+		/** PEM files; if set, peer connections use TLS with mutual authentication. */
 		certificateFile: z.string().optional(),
 		privateKeyFile: z.string().optional(),
 		authorityFile: z.string().optional(),
@@ -50,7 +50,7 @@
 	}).prefault({}),
 	placement: z.strictObject({
 		policy: z.string().default('late-binding'),
-		/** How long a new arbiter withholds slots of targets that don't say what they run; the longest task limit. */
+		/** How long a new arbiter withholds the slots of targets with unknown usage; equals the longest task limit. */
 		quarantineMilliseconds: z.int().min(0).max(600_000).default(12_000),
 	}).prefault({}),
 }).refine(settings => settings.entry.zones.includes(settings.entry.zone), {
--- a/src/runtime/settings/format-problem.ts
+++ b/src/runtime/settings/format-problem.ts
@@ -1,9 +1,9 @@
-/** Wording of a mistake in a TOML document. */
+/** Formatting of settings problems. */
 import type {SettingsProblem} from './settings-problem.js';
 
-/** One line that names the place, the key, the value and what is allowed. */
+/** Formats a problem on one line: file and line, key, actual value, expected value. */
 export function formatProblem(file: string, problem: SettingsProblem): string {
-	const place = problem.line === undefined ? file : `${file}:${problem.line}`;
+	const location = problem.line === undefined ? file : `${file}:${problem.line}`;
 	const value = problem.value === '' ? '' : ` = ${problem.value}`;
-	return `${place}: ${problem.key}${value}: ${problem.expected}`;
+	return `${location}: ${problem.key}${value}: ${problem.expected}`;
 }
--- a/src/runtime/settings/parse-document.ts
+++ b/src/runtime/settings/parse-document.ts
@@ -1,10 +1,10 @@
-/** Reads TOML against a schema, for settings and for profiles. */
+/** Parsing and validation of TOML documents. */
 import {parse, TomlError} from 'smol-toml';
 import type {z} from 'zod';
 import type {CheckedDocument} from './checked-document.js';
 import type {SettingsProblem} from './settings-problem.js';
 
-/** Parses and checks; finds each wrong key's line by its name, which TOML parsers don't keep. */
+/** Parses TOML and validates it against a schema. Lines are found by searching the text, since the parser doesn't keep them. */
 export function parseDocument<Schema extends z.ZodType>(text: string, schema: Schema): CheckedDocument<z.output<Schema>> {
 	let raw: unknown;
 	try {
@@ -36,14 +36,14 @@
 	if (issue.code === 'unrecognized_keys') {
 		return issue.keys.map(key => ({
 			key: [...path, key].join('.'),
-			value: shown(valueAt(raw, [...path, key])),
+			value: formatValue(valueAt(raw, [...path, key])),
 			expected: 'no such key',
 			line: lineOf(text, [...path, key]),
 		}));
 	}
 
 	return [{
-		key: path.join('.'), value: shown(valueAt(raw, path)), expected: issue.message, line: lineOf(text, path),
+		key: path.join('.'), value: formatValue(valueAt(raw, path)), expected: issue.message, line: lineOf(text, path),
 	}];
 }
 
@@ -56,22 +56,22 @@
 	return value;
 }
 
-function shown(value: unknown): string {
+function formatValue(value: unknown): string {
 	return value === undefined ? '(absent)' : JSON.stringify(value);
 }
 
-/** The line that assigns the path's last key below the path's table heading, or the heading's own line. */
+/** Returns the line that assigns the path's last key within its table, or the line of the table's heading. */
 function lineOf(text: string, path: readonly string[]): number | undefined {
 	const heading = `[${path.slice(0, -1).join('.')}]`;
 	const key = path.at(-1) ?? '';
-	let inside = path.length === 1;
+	let isInTable = path.length === 1;
 	let headingLine: number | undefined;
 	for (const [index, line] of text.split('\n').entries()) {
 		const trimmed = line.trim();
 		if (trimmed.startsWith('[')) {
-			inside = trimmed.startsWith(heading);
-			headingLine = inside ? index + 1 : headingLine;
-		} else if (inside && trimmed.split('=')[0]?.trim() === key) {
+			isInTable = trimmed.startsWith(heading);
+			headingLine = isInTable ? index + 1 : headingLine;
+		} else if (isInTable && trimmed.split('=')[0]?.trim() === key) {
 			return index + 1;
 		}
 	}
--- a/src/runtime/settings/settings-problem.ts
+++ b/src/runtime/settings/settings-problem.ts
@@ -1,6 +1,6 @@
-/** What is wrong with a TOML document. */
+/** A problem in a TOML document. */
 
-/** One mistake; the line is counted from 1 and present where it is known. */
+/** An invalid key or value; `expected` describes valid values, and `line` is 1-based if known. */
 export type SettingsProblem = {
 	readonly key: string;
 	readonly value: string;
--- a/src/runtime/settings/settings.ts
+++ b/src/runtime/settings/settings.ts
@@ -1,6 +1,6 @@
-/** Settings after their check. */
+/** Validated settings. */
 import type {z} from 'zod';
 import type {entrySettingsSchema} from './entry-settings.js';
 
-/** What the entry daemon was told at start; it doesn't change while the daemon runs. */
+/** Settings of the entry daemon; immutable after start. */
 export type Settings = z.output<typeof entrySettingsSchema>;
--- a/src/runtime/stream/append-result.ts
+++ b/src/runtime/stream/append-result.ts
@@ -1,7 +1,7 @@
-/** The result of an append to the platform's log. */
+/** The result of appending to the platform's log. */
 import type {StreamOffset} from '../../base/stream-offset.js';
 
-/** `unknown`: the record may have been appended although no reply came; a read settles it. */
+/** With `unknown`, the record may have been appended although no response arrived; a later read resolves this. */
 export type AppendResult =
 	| {readonly kind: 'appended'; readonly offset: StreamOffset}
 	| {readonly kind: 'notAppended'; readonly detail: string}
--- a/src/runtime/stream/http-log-client.ts
+++ b/src/runtime/stream/http-log-client.ts
@@ -1,9 +1,9 @@
-/** Streams of the log service over HTTP. */
+/** HTTP client of the log service. */
 import {HttpLogStream} from './http-log-stream.js';
-import type {LogStream} from './log-stream.js';
 import {LogClient} from './log-client.js';
+import type {LogStream} from './log-stream.js';
 
-/** Opens streams at one log service. */
+/** Opens streams of the log service at a base URL. */
 export class HttpLogClient extends LogClient {
 	constructor(private readonly baseUrl: string) {
 		super();
--- a/src/runtime/stream/http-log-stream.ts
+++ b/src/runtime/stream/http-log-stream.ts
@@ -1,4 +1,4 @@
-/** The log service over HTTP; docs/INTERFACES.md gives the protocol. */
+/** HTTP client of the log service; docs/INTERFACES.md describes the protocol. */
 import {request} from 'undici';
 import * as z from 'zod';
 import {abortSignalOf} from '../../base/abort-signal-of.js';
@@ -11,17 +11,17 @@
 import type {StreamReadResult} from './stream-read-result.js';
 
 const appendTimeoutMilliseconds = 3000;
-const readMarginMilliseconds = 3000;
+const readTimeoutMarginMilliseconds = 3000;
 
 const offsetSchema = z.int().min(0).transform(offset => offset as StreamOffset);
-const appendedSchema = z.object({offset: offsetSchema});
+const appendResponseSchema = z.object({offset: offsetSchema});
 const pageSchema = z.object({
 	records: z.array(z.object({offset: offsetSchema, body: jsonValueSchema})),
 	firstOffset: offsetSchema,
 	nextOffset: offsetSchema,
 });
 
-/** Talks to `URL/streams/NAME/records`. */
+/** Appends to and reads from `URL/streams/NAME/records`. */
 export class HttpLogStream extends LogStream {
 	readonly #recordsUrl: string;
 
@@ -40,12 +40,12 @@
 			});
 			const reply = await response.body.json();
 			if (response.statusCode === 201) {
-				return {kind: 'appended', offset: appendedSchema.parse(reply).offset};
+				return {kind: 'appended', offset: appendResponseSchema.parse(reply).offset};
 			}
 
 			return {kind: 'notAppended', detail: `the log answered ${response.statusCode}`};
 		} catch (error) {
-			// Only a refused connection proves that the log never saw the record.
+			// Only a refused connection proves that the record was not appended.
 			const isRefused = (error as NodeJS.ErrnoException).code === 'ECONNREFUSED';
 			return {kind: isRefused ? 'notAppended' : 'unknown', detail: String(error)};
 		}
@@ -54,7 +54,7 @@
 	override async read(from: StreamOffset, waitMilliseconds: number, token: CancellationToken): Promise<StreamReadResult> {
 		try {
 			const response = await request(`${this.#recordsUrl}?from=${from}&wait=${waitMilliseconds}`, {
-				signal: abortSignalOf(waitMilliseconds + readMarginMilliseconds, token),
+				signal: abortSignalOf(waitMilliseconds + readTimeoutMarginMilliseconds, token),
 			});
 			const reply = await response.body.json();
 			if (response.statusCode !== 200) {
--- a/src/runtime/stream/log-client.ts
+++ b/src/runtime/stream/log-client.ts
@@ -1,7 +1,8 @@
-/** Opens streams of the platform's log. */
+/** Access to the platform's log. */
 import type {LogStream} from './log-stream.js';
 
-/** One stream for each name. */
+/** A client of the log service. */
 export abstract class LogClient {
+	/** Opens the stream with the given name. */
 	abstract open(name: string): LogStream;
 }
--- a/src/runtime/stream/stream-page.ts
+++ b/src/runtime/stream/stream-page.ts
@@ -1,12 +1,12 @@
-/** A run of records as one read returns them. */
+/** A page of log records. */
 import type {StreamOffset} from '../../base/stream-offset.js';
 import type {StreamRecord} from './stream-record.js';
 
-/** Records in the order of their offsets, with the bounds of what the log holds. */
+/** Records in ascending order of offset, and the range of offsets in the log. */
 export type StreamPage = {
 	readonly records: readonly StreamRecord[];
-	/** Offset of the oldest record that is still kept. */
+	/** Offset of the oldest retained record. */
 	readonly firstOffset: StreamOffset;
-	/** Offset that the next append will get. */
+	/** Offset of the next record to be appended. */
 	readonly nextOffset: StreamOffset;
 };
--- a/src/runtime/targets/http-target-driver.ts
+++ b/src/runtime/targets/http-target-driver.ts
@@ -1,4 +1,4 @@
-/** Targets over HTTP/1.1; docs/INTERFACES.md gives the protocol. */
+/** HTTP/1.1 client of targets; docs/INTERFACES.md describes the protocol. */
 import {Buffer} from 'node:buffer';
 import {errors, Pool, type Dispatcher} from 'undici';
 import * as z from 'zod';
@@ -13,19 +13,16 @@
 import type {TargetUsage} from './target-usage.js';
 import type {TaskRequest} from './task-request.js';
 
-/** At most so many connections from one entry to one target; all entries together stay under the target's own 64. */
+/** Connections from one entry to one target; a target accepts 64 from all entries. */
 const connectionsPerTarget = 8;
-/**
- * A connection that was idle for longer is closed, not used again. A network that forgot an idle connection swallows
- * what is sent on it; one second is far below the time after which networks forget.
- */
-const idleMilliseconds = 1000;
+/** Idle connections are closed early, because the network may silently drop their state and lose later requests. */
+const idleTimeoutMilliseconds = 1000;
 const connectTimeoutMilliseconds = 1000;
-/** What a target may take beyond the task's limit to say that it stopped it. */
-const answerMarginMilliseconds = 250;
-const usageTimeoutMilliseconds = 1000;
+/** Time after the task's limit for the target to report that it stopped the task. */
+const responseMarginMilliseconds = 250;
+const controlTimeoutMilliseconds = 1000;
 
-const answerSchema = z.object({
+const taskResponseSchema = z.object({
 	result: jsonValueSchema.optional(),
 	failure: z.string().optional(),
 	runMilliseconds: z.number().min(0).default(0),
@@ -37,31 +34,31 @@
 
 type TaskVerdict = Verdict<TaskAnswer>;
 
-/** Owns one connection pool for each target; a request has its connection to itself until its answer has ended. */
+/** Owns one connection pool per target. Requests are not pipelined. */
 export class HttpTargetDriver extends TargetDriver implements Disposable {
 	readonly #pools = new Map<string, Pool>();
 
-	constructor(private readonly answerBytes: number) {
+	constructor(private readonly responseLimitBytes: number) {
 		super();
 	}
 
-	override async run(target: TargetAddress, order: TaskRequest, token: CancellationToken): Promise<TaskVerdict> {
+	override async run(target: TargetAddress, request: TaskRequest, token: CancellationToken): Promise<TaskVerdict> {
 		const controller = new AbortController();
 		const limit = setTimeout(() => {
 			controller.abort();
-		}, order.limitMilliseconds + answerMarginMilliseconds);
+		}, request.limitMilliseconds + responseMarginMilliseconds);
 		const registration = token.onDidRequestCancellation(() => {
 			controller.abort();
 		});
 		try {
-			const response = await this.#poolOf(target).request(requestOf(order, controller.signal));
-			return await this.#verdictOf(response, order);
+			const response = await this.#getPool(target).request(toHttpRequest(request, controller.signal));
+			return await this.#readVerdict(response, request);
 		} catch (error) {
 			if (!controller.signal.aborted) {
 				return verdictOfError(error);
 			}
 
-			const isStopped = await this.#stop(target, order.taskId);
+			const isStopped = await this.#stop(target, request.taskId);
 			return verdictOfAbort(isStopped, token.isCancellationRequested);
 		} finally {
 			clearTimeout(limit);
@@ -71,11 +68,11 @@
 
 	override async usage(target: TargetAddress): Promise<TargetUsage | undefined> {
 		try {
-			const response = await this.#poolOf(target).request({
+			const response = await this.#getPool(target).request({
 				method: 'GET',
 				path: '/v1/usage',
-				headersTimeout: usageTimeoutMilliseconds,
-				bodyTimeout: usageTimeoutMilliseconds,
+				headersTimeout: controlTimeoutMilliseconds,
+				bodyTimeout: controlTimeoutMilliseconds,
 			});
 			return usageSchema.parse(await response.body.json());
 		} catch {
@@ -83,7 +80,7 @@
 		}
 	}
 
-	/** Closes the pools of targets that are no longer listed. */
+	/** Closes the pools of all other addresses; requests in flight complete. */
 	retain(addresses: ReadonlySet<string>): void {
 		for (const [address, pool] of this.#pools) {
 			if (!addresses.has(address)) {
@@ -101,50 +98,49 @@
 		this.#pools.clear();
 	}
 
-	#poolOf(target: TargetAddress): Pool {
-		const known = this.#pools.get(target.address);
-		if (known !== undefined) {
-			return known;
+	#getPool(target: TargetAddress): Pool {
+		const existing = this.#pools.get(target.address);
+		if (existing !== undefined) {
+			return existing;
 		}
 
 		const pool = new Pool(`http://${target.address}`, {
 			connections: connectionsPerTarget,
 			pipelining: 1,
-			keepAliveTimeout: idleMilliseconds,
-			keepAliveMaxTimeout: idleMilliseconds,
+			keepAliveTimeout: idleTimeoutMilliseconds,
+			keepAliveMaxTimeout: idleTimeoutMilliseconds,
 			connect: {timeout: connectTimeoutMilliseconds},
 		});
 		this.#pools.set(target.address, pool);
 		return pool;
 	}
 
-	async #verdictOf(response: Dispatcher.ResponseData, order: TaskRequest): Promise<TaskVerdict> {
-		// An answer that carries another task's id was crossed with it: it's dropped with its connection, since
-		// whatever follows on that connection can't be trusted either.
-		if (response.headers['task-id'] !== order.taskId) {
-			// Destroying a body that's still arriving reports an abort, which nobody else listens to and would end the process.
+	async #readVerdict(response: Dispatcher.ResponseData, request: TaskRequest): Promise<TaskVerdict> {
+		// A response with another task's id means that responses were mixed up; its connection can't be trusted any more.
+		if (response.headers['task-id'] !== request.taskId) {
+			// Destroying an incomplete body emits an error, which would end the process without a listener.
 			response.body.on('error', () => undefined).destroy();
 			return {kind: 'mayHaveRun', cause: 'answerUnusable', detail: 'the answer names another task'};
 		}
 
-		const text = await this.#textOf(response);
+		const text = await this.#readText(response);
 		if (text === undefined) {
-			return {kind: 'mayHaveRun', cause: 'answerUnusable', detail: `the answer exceeds ${this.answerBytes} bytes`};
+			return {kind: 'mayHaveRun', cause: 'answerUnusable', detail: `the answer exceeds ${this.responseLimitBytes} bytes`};
 		}
 
 		if (response.headers['task-verdict'] === 'not-run') {
 			return {kind: 'notRun', cause: 'targetRefused', detail: `the target refused with ${response.statusCode}`};
 		}
 
-		return answerOf(text, response.statusCode);
+		return parseResponse(text, response.statusCode);
 	}
 
-	async #textOf(response: Dispatcher.ResponseData): Promise<string | undefined> {
+	async #readText(response: Dispatcher.ResponseData): Promise<string | undefined> {
 		const chunks: Uint8Array[] = [];
 		let bytes = 0;
 		for await (const chunk of response.body as AsyncIterable<Uint8Array>) {
 			bytes += chunk.length;
-			if (bytes > this.answerBytes) {
+			if (bytes > this.responseLimitBytes) {
 				return undefined;
 			}
 
@@ -154,14 +150,14 @@
 		return new TextDecoder().decode(Buffer.concat(chunks));
 	}
 
-	/** Tells a target to stop a task; returns whether the target said that it doesn't run it any more. */
+	/** Requests that a target stop a task; returns whether the target confirmed that the task is no longer running. */
 	async #stop(target: TargetAddress, taskId: TaskId): Promise<boolean> {
 		try {
-			const response = await this.#poolOf(target).request({
+			const response = await this.#getPool(target).request({
 				method: 'DELETE',
 				path: `/v1/tasks/${encodeURIComponent(taskId)}`,
-				headersTimeout: usageTimeoutMilliseconds,
-				bodyTimeout: usageTimeoutMilliseconds,
+				headersTimeout: controlTimeoutMilliseconds,
+				bodyTimeout: controlTimeoutMilliseconds,
 			});
 			await response.body.dump();
 			return response.statusCode < 500;
@@ -171,27 +167,27 @@
 	}
 }
 
-function requestOf(order: TaskRequest, signal: AbortSignal): Dispatcher.RequestOptions {
+function toHttpRequest(request: TaskRequest, signal: AbortSignal): Dispatcher.RequestOptions {
 	return {
 		method: 'POST',
 		path: '/v1/tasks',
 		headers: {
 			'content-type': 'application/json',
-			'task-id': order.taskId,
-			'task-profile': order.profile,
-			'task-limit-milliseconds': String(Math.ceil(order.limitMilliseconds)),
+			'task-id': request.taskId,
+			'task-profile': request.profile,
+			'task-limit-milliseconds': String(Math.ceil(request.limitMilliseconds)),
 		},
-		body: JSON.stringify(order.payload),
+		body: JSON.stringify(request.payload),
 		headersTimeout: 0,
 		bodyTimeout: 0,
 		signal,
 	};
 }
 
-function answerOf(text: string, statusCode: number): TaskVerdict {
+function parseResponse(text: string, statusCode: number): TaskVerdict {
 	let parsed;
 	try {
-		parsed = answerSchema.parse(JSON.parse(text));
+		parsed = taskResponseSchema.parse(JSON.parse(text));
 	} catch {
 		return {kind: 'mayHaveRun', cause: 'answerUnusable', detail: `the answer with ${statusCode} isn't readable`};
 	}
@@ -205,7 +201,7 @@
 	return {kind: 'answered', answer: {kind: 'failure', detail, runMilliseconds}};
 }
 
-/** Only a connection that was never made proves that nothing was sent. */
+/** Only a failure to connect proves that the request was not sent. */
 function verdictOfError(error: unknown): TaskVerdict {
 	const {code} = error as NodeJS.ErrnoException;
 	if (code === 'ECONNREFUSED' || error instanceof errors.ConnectTimeoutError) {
@@ -215,7 +211,7 @@
 	return {kind: 'mayHaveRun', cause: 'connectionLost', detail: String(error)};
 }
 
-/** A task that the target didn't confirm to have stopped may still run there. */
+/** Without confirmation by the target, a stopped task may still be running. */
 function verdictOfAbort(isStopped: boolean, isCancelled: boolean): TaskVerdict {
 	if (!isCancelled) {
 		return {kind: 'mayHaveRun', cause: 'taskTimeout', detail: 'no answer within the limit of the task'};
--- a/src/runtime/targets/target-address.ts
+++ b/src/runtime/targets/target-address.ts
@@ -1,7 +1,7 @@
-/** Where a target is. */
+/** The address of a target. */
 import type {InstanceId} from '../../base/instance-id.js';
 
-/** As much of an instance as a request to it needs. */
+/** Identifies a target and its HTTP endpoint. */
 export type TargetAddress = {
 	readonly id: InstanceId;
 	/** `IP:port` of its HTTP server. */
--- a/src/runtime/targets/target-driver.ts
+++ b/src/runtime/targets/target-driver.ts
@@ -1,4 +1,4 @@
-/** How an entry talks to targets. */
+/** Task execution on targets. */
 import type {CancellationToken} from '../../base/cancellation-token.js';
 import type {TaskAnswer} from '../../base/task-answer.js';
 import type {Verdict} from '../../base/verdict.js';
@@ -7,13 +7,13 @@
 import type {TaskRequest} from './task-request.js';
 
 /**
- * The adapter to targets. `run` sends one start at most and never tries again: only its caller knows whether that is
- * safe. Nothing here rejects.
+ * Client of targets. Its promises never reject. `run` sends a task at most once; retries are left to the caller, which knows
+ * whether they are safe.
  */
 export abstract class TargetDriver {
-	/** Starts a task and waits for its end; a cancelled token stops it at the target. */
-	abstract run(target: TargetAddress, order: TaskRequest, token: CancellationToken): Promise<Verdict<TaskAnswer>>;
+	/** Starts a task and resolves with its verdict; cancelling the token stops the task on the target. */
+	abstract run(target: TargetAddress, request: TaskRequest, token: CancellationToken): Promise<Verdict<TaskAnswer>>;
 
-	/** Asks what the target runs; none where it can't be asked. */
+	/** Returns the tasks that the target is running; undefined if the target gives no usable response. */
 	abstract usage(target: TargetAddress): Promise<TargetUsage | undefined>;
 }
--- a/src/runtime/targets/task-request.ts
+++ b/src/runtime/targets/task-request.ts
@@ -1,9 +1,9 @@
-/** What an entry asks of a target. */
+/** A request to run a task on a target. */
 import type {JsonValue} from '../../base/json-value.js';
 import type {ProfileName} from '../../base/profile-name.js';
 import type {TaskId} from '../../base/task-id.js';
 
-/** One start of one task; the target stops the task when the limit has passed. */
+/** One attempt of a task; the target stops the task after `limitMilliseconds`. */
 export type TaskRequest = {
 	readonly taskId: TaskId;
 	readonly profile: ProfileName;
--- a/test/runtime/instances/http-instance-list.test.ts
+++ b/test/runtime/instances/http-instance-list.test.ts
@@ -1,4 +1,4 @@
-/** The instance list's interface: the adapter against the stand-in. */
+/** Tests of the HTTP instance list against a fake service. */
 import assert from 'node:assert/strict';
 import {after, test} from 'node:test';
 import {serve} from '@hono/node-server';
@@ -8,7 +8,7 @@
 import {InstanceService} from '../../../standins/instances/instance-service.js';
 import {RecordingJournal} from '../../support/recording-journal.js';
 
-test('rows are read, and one that can\'t be read hides no other', async () => {
+test('an invalid row is skipped and logged, and the valid rows are listed', async () => {
 	const service = new InstanceService();
 	service.set('target-1', {
 		id: 'target-1', kind: 'target', zone: 'zone-1', address: '127.0.0.1:1', state: 'live',
--- a/test/runtime/metrics/text-metrics.test.ts
+++ b/test/runtime/metrics/text-metrics.test.ts
@@ -1,4 +1,4 @@
-/** Metrics as text, from events. */
+/** Tests of text metrics that are derived from events. */
 import {test} from 'node:test';
 import {CountingJournal} from '../../../src/runtime/journal/counting-journal.js';
 import {TextMetrics} from '../../../src/runtime/metrics/text-metrics.js';
@@ -7,7 +7,7 @@
 
 const matches = snapshotsOf(import.meta.url);
 
-test('events are counted, and the durations of jobs and runs stand in histograms by outcome', () => {
+test('events are counted, and durations of jobs and runs are recorded in histograms by outcome', () => {
 	const metrics = new TextMetrics();
 	const journal = new CountingJournal(new RecordingJournal(), metrics);
 	journal.record('jobEnded', {verdict: 'answered', tookMilliseconds: 210});
--- a/test/runtime/settings/parse-document.test.ts
+++ b/test/runtime/settings/parse-document.test.ts
@@ -1,7 +1,7 @@
-/** What an operator reads when settings are wrong. */
+/** Tests of the problems reported for invalid settings. */
 import {test} from 'node:test';
-import {formatProblem} from '../../../src/runtime/settings/format-problem.js';
 import {entrySettingsSchema} from '../../../src/runtime/settings/entry-settings.js';
+import {formatProblem} from '../../../src/runtime/settings/format-problem.js';
 import {parseDocument} from '../../../src/runtime/settings/parse-document.js';
 import {snapshotsOf} from '../../support/snapshots.js';
 
@@ -26,7 +26,7 @@
 	return document.kind === 'valid' ? 'valid' : document.problems.map(problem => formatProblem('entry.toml', problem));
 }
 
-test('settings name the key, the value, what is allowed, and the line', () => {
+test('problems name the line, the key, its value and the expected value', () => {
 	const cases = {
 		valid,
 		'wrong type': valid.replace('"127.0.0.1"\n', '127\n'),
--- a/test/runtime/stream/http-log-stream.test.ts
+++ b/test/runtime/stream/http-log-stream.test.ts
@@ -1,4 +1,4 @@
-/** The log's interface: the adapter against the stand-in, with its faults. */
+/** Tests of the HTTP log stream against a fake log service with faults. */
 import assert from 'node:assert/strict';
 import {after, test} from 'node:test';
 import {serve} from '@hono/node-server';
@@ -10,7 +10,7 @@
 const service = new LogService();
 const first = 0 as StreamOffset;
 
-async function streamOf(): Promise<HttpLogStream> {
+async function openStream(): Promise<HttpLogStream> {
 	return new Promise(resolve => {
 		const server = serve({fetch: service.routes().fetch, hostname: '127.0.0.1', port: 0}, ({port}) => {
 			resolve(new HttpLogStream(`http://127.0.0.1:${port}`, 'test'));
@@ -21,8 +21,8 @@
 	});
 }
 
-test('records come back in order, a waiting read ends with the append, and an outage is told', async () => {
-	const stream = await streamOf();
+test('records are read in order, an append ends a waiting read, and an outage is reported', async () => {
+	const stream = await openStream();
 	assert.deepEqual(await stream.append('one', neverCancelled), {kind: 'appended', offset: 0});
 	const waiting = stream.read(1 as StreamOffset, 5000, neverCancelled);
 	await stream.append('two', neverCancelled);
@@ -35,17 +35,17 @@
 	service.fail({isDown: false});
 });
 
-test('a lost reply leaves the append unknown, and a read settles it', async () => {
-	// The log takes an operator's change and its reply is lost: neither "done" nor "not done" would be true.
-	const stream = await streamOf();
+test('the result of an append is unknown after a lost response, and a read resolves it', async () => {
+	// Guards against reporting a definite result for a change that may or may not have been appended.
+	const stream = await openStream();
 	service.fail({lostReplies: 1});
-	const appended = await stream.append('settled', neverCancelled);
+	const appended = await stream.append('resolved', neverCancelled);
 	const reading = await stream.read(first, 0, neverCancelled);
 	assert.equal(appended.kind, 'unknown');
-	assert.ok(reading.kind === 'page' && reading.page.records.some(record => record.body === 'settled'));
+	assert.ok(reading.kind === 'page' && reading.page.records.some(record => record.body === 'resolved'));
 });
 
-test('a port that refuses proves that nothing was appended', async () => {
+test('a refused connection means that nothing was appended', async () => {
 	const stream = new HttpLogStream('http://127.0.0.1:1', 'test');
 	const appended = await stream.append('never', neverCancelled);
 	assert.equal(appended.kind, 'notAppended');
