--- a/standins/relay.ts
+++ b/standins/relay.ts
@@ -2,8 +2,8 @@
 import {
 	connect, createServer, type AddressInfo, type Server, type Socket,
 } from 'node:net';
-import {FrameReader} from '../src/runtime/peers/frame-reader.js';
 import {decodeFrame} from '../src/runtime/peers/decode-frame.js';
+import {FrameReader} from '../src/runtime/peers/frame-reader.js';
 
 const frameLimitBytes = 8_388_608;
 
