--- a/src/entries/command/append-change.ts
+++ b/src/entries/command/append-change.ts
@@ -5,7 +5,7 @@
 import type {ChangeResult} from './change-result.js';
 import {findOutcome} from './find-outcome.js';
 import type {OperatorContext} from './operator-context.js';
-import {settleOutcome} from './settle-outcome.js';
+import {confirmOutcome} from './confirm-outcome.js';
 
 /** Appends of one change; a second one does no harm, since the fold knows the change by its id. */
 const appendAttempts = 3;
@@ -17,7 +17,7 @@
 	const startedAt = context.clock.now();
 	let detail = '';
 	for (let attempt = 0; attempt < appendAttempts; attempt++) {
-		context.progress(`appending change ${change.changeId}`);
+		context.reportProgress(`appending change ${change.changeId}`);
 		const appended = await context.stream.append(change, new CancellationSource().token);
 		if (appended.kind === 'notAppended') {
 			return attempt === 0 ? {kind: 'notAppended', detail: appended.detail} : {kind: 'unknown', changeId: change.changeId, detail: appended.detail};
@@ -26,7 +26,7 @@
 		detail = appended.kind === 'unknown' ? appended.detail : '';
 		const outcome = await findOutcome(context.stream, change.changeId);
 		if (outcome !== undefined) {
-			return settleOutcome(context, outcome, startedAt);
+			return confirmOutcome(context, outcome, startedAt);
 		}
 	}
 
--- a/src/entries/command/await-in-force.ts
+++ b/src/entries/command/await-rollout.ts
@@ -9,10 +9,10 @@
 const periodMilliseconds = 100;
 
 /** Asks all listed entries until each has folded the change, or the limit has passed. */
-export async function awaitInForce(context: OperatorContext, revision: Revision, startedAt: number): Promise<ChangeResult> {
+export async function awaitRollout(context: OperatorContext, revision: Revision, startedAt: number): Promise<ChangeResult> {
 	const {clock, fleet} = context;
 	for (;;) {
-		const {entries, missing} = await fleet.behind(revision + 1);
+		const {entries, missing} = await fleet.checkProgress(revision + 1);
 		const milliseconds = clock.now() - startedAt;
 		if (missing.length === 0) {
 			return {
@@ -20,7 +20,7 @@
 			};
 		}
 
-		context.progress(`in force on ${entries - missing.length} of ${entries} entries`);
+		context.reportProgress(`in force on ${entries - missing.length} of ${entries} entries`);
 		if (milliseconds > limitMilliseconds) {
 			return {
 				kind: 'notYetEverywhere', revision, entries, missing,
--- a/src/entries/command/explain-story.ts
+++ b/src/entries/command/build-timeline.ts
@@ -28,7 +28,7 @@
  * Lines that name the id, and near them those that tell of the targets and entries that took part; in the order of time.
  * Empty where no line names the id.
  */
-export function explainStory(lines: readonly LogLine[], id: string): readonly string[] {
+export function buildTimeline(lines: readonly LogLine[], id: string): readonly string[] {
 	const own = lines.filter(line => names(line, id));
 	if (own.length === 0) {
 		return [];
--- a/src/entries/command/settle-outcome.ts
+++ b/src/entries/command/confirm-outcome.ts
@@ -1,15 +1,15 @@
 /** Turns a change's outcome into the command's result. */
 import type {Revision} from '../../base/revision.js';
 import type {ChangeOutcome} from '../../features/profiles/change-outcome.js';
-import {awaitInForce} from './await-in-force.js';
+import {awaitRollout} from './await-rollout.js';
 import type {ChangeResult} from './change-result.js';
 import type {OperatorContext} from './operator-context.js';
 
 /** Makes a result of a change's outcome, waiting for the entries where it was accepted. */
-export async function settleOutcome(context: OperatorContext, outcome: ChangeOutcome, startedAt: number): Promise<ChangeResult> {
+export async function confirmOutcome(context: OperatorContext, outcome: ChangeOutcome, startedAt: number): Promise<ChangeResult> {
 	if (outcome.kind === 'rejected') {
 		return {kind: 'rejected', cause: outcome.cause, winner: outcome.winner};
 	}
 
-	return awaitInForce(context, outcome.offset as number as Revision, startedAt);
+	return awaitRollout(context, outcome.offset as number as Revision, startedAt);
 }
--- a/src/entries/command/fleet-view.ts
+++ b/src/entries/command/fleet-client.ts
@@ -15,7 +15,7 @@
 type Listed = z.output<typeof listSchema>['instances'][number];
 
 /** Reads the instance list and the entries' status. */
-export class FleetView {
+export class FleetClient {
 	constructor(private readonly instancesUrl: string) {}
 
 	/** The listed live entries. */
@@ -36,7 +36,7 @@
 	}
 
 	/** Names of the entries that haven't reached an offset. */
-	async behind(nextOffset: number): Promise<{readonly entries: number; readonly missing: readonly string[]}> {
+	async checkProgress(nextOffset: number): Promise<{readonly entries: number; readonly missing: readonly string[]}> {
 		const entries = await this.entries();
 		const states = await Promise.all(entries.map(async entry => {
 			const status = await this.status(entry.address);
--- a/src/entries/command/losses/attribute-loss.ts
+++ b/src/entries/command/losses/attribute-loss.ts
@@ -1,11 +1,11 @@
 /** Which part of a job's way took its time. */
 import type {Attempt} from './attempt.js';
-import type {IdleRoom} from './idle-room.js';
+import type {FreeCapacity} from './free-capacity.js';
 import type {JobTrace} from './job-trace.js';
 import type {LossReason} from './loss-reason.js';
-import type {TargetPaces} from './target-paces.js';
+import type {TargetSpeeds} from './target-speeds.js';
 
-type Surroundings = {readonly room: IdleRoom; readonly paces: TargetPaces};
+type Surroundings = {readonly room: FreeCapacity; readonly paces: TargetSpeeds};
 type Part = {readonly reason: LossReason; readonly milliseconds: number};
 
 /** Causes in `runStopped` and `runEnded` lines that name more than the outcome does. */
@@ -74,7 +74,7 @@
 	return needs[0] ?? unknownCpuMillis;
 }
 
-function waitBetween(from: number, to: number, cpuMillis: number, room: IdleRoom): readonly Part[] {
+function waitBetween(from: number, to: number, cpuMillis: number, room: FreeCapacity): readonly Part[] {
 	const whole = Math.max(0, to - from);
 	const beside = whole * room.shareWithRoom(from, to, cpuMillis);
 	return [{reason: 'waitedBesideIdleRoom', milliseconds: beside}, {reason: 'waitedForRoom', milliseconds: whole - beside}];
--- a/src/entries/command/losses/lost-of.ts
+++ b/src/entries/command/losses/count-lost.ts
@@ -2,6 +2,6 @@
 import type {SliceLosses} from './slice-losses.js';
 
 /** All but those in time. */
-export function lostOf({counts}: SliceLosses): number {
+export function countLost({counts}: SliceLosses): number {
 	return counts.late + counts.refused + counts.givenUp + counts.unanswered;
 }
--- a/src/entries/command/losses/describe-losses.ts
+++ b/src/entries/command/losses/describe-losses.ts
@@ -1,7 +1,7 @@
 /** Losses for people. */
 import type {LossReason} from './loss-reason.js';
 import {lossReasons} from './loss-reasons.js';
-import {lostOf} from './lost-of.js';
+import {countLost} from './count-lost.js';
 import type {SliceLosses} from './slice-losses.js';
 import type {UnreadableLines} from './unreadable-lines.js';
 
@@ -13,14 +13,14 @@
 		['from', 'queue', 'jobs', 'in time', 'late', 'refused', 'given up', 'unanswered', 'reasons, in jobs'].join('\t'),
 		rowOf('whole', all),
 		...queues.map(queue => rowOf('whole', sumOf(slices.filter(slice => slice.queue === queue), queue))),
-		...slices.slice(0, most).filter(slice => lostOf(slice) > 0).map(slice => rowOf(`${(slice.fromMilliseconds / 1000).toFixed(1)} s`, slice)),
+		...slices.slice(0, most).filter(slice => countLost(slice) > 0).map(slice => rowOf(`${(slice.fromMilliseconds / 1000).toFixed(1)} s`, slice)),
 		`lines that tell nothing: ${unreadable.notAnEvent} no event, ${unreadable.cut} cut, ${unreadable.unknownEvent} of another version`,
 	];
 }
 
 function rowOf(from: string, slice: SliceLosses): string {
 	const {queue, counts, reasons} = slice;
-	const jobs = counts.inTime + lostOf(slice);
+	const jobs = counts.inTime + countLost(slice);
 	const described = [...reasons].sort((left, right) => right[1] - left[1]).map(([reason, lost]) => `${reason} ${lost.toFixed(1)}`);
 	return [from, queue, jobs, counts.inTime, counts.late, counts.refused, counts.givenUp, counts.unanswered, described.join(', ')].join('\t');
 }
--- a/src/entries/command/losses/idle-room.ts
+++ b/src/entries/command/losses/free-capacity.ts
@@ -18,7 +18,7 @@
  * Follows the room of each target from the lines of its owners: a start tells the room before it. A target of which no start
  * was seen has unknown room, and counts as full. What an owner held closed counts as full as well.
  */
-export class IdleRoom {
+export class FreeCapacity {
 	readonly #targets = new Map<string, Target>();
 	readonly #uses = new Map<string, Use>();
 	#steps: Step[] = [];
--- a/src/entries/command/losses/job-fate.ts
+++ b/src/entries/command/losses/job-outcome.ts
@@ -6,4 +6,4 @@
  * - `givenUp`: told that it may have run.
  * - `unanswered`: no line tells of an answer.
  */
-export type JobFate = 'inTime' | 'late' | 'refused' | 'givenUp' | 'unanswered';
+export type JobOutcome = 'inTime' | 'late' | 'refused' | 'givenUp' | 'unanswered';
--- a/src/entries/command/losses/loss-account.ts
+++ b/src/entries/command/losses/loss-analysis.ts
@@ -2,12 +2,12 @@
 import {jobOfTask} from '../../../base/job-of-task.js';
 import type {LogLine} from '../log-line.js';
 import {attributeLoss} from './attribute-loss.js';
-import {fateOf} from './fate-of.js';
-import {IdleRoom} from './idle-room.js';
+import {outcomeOf} from './outcome-of.js';
+import {FreeCapacity} from './free-capacity.js';
 import {JobTrace} from './job-trace.js';
-import {lostOf} from './lost-of.js';
+import {countLost} from './count-lost.js';
 import type {SliceLosses} from './slice-losses.js';
-import {TargetPaces} from './target-paces.js';
+import {TargetSpeeds} from './target-speeds.js';
 
 /** After its end a job is kept for so long: its caller may submit it again, and lines of other entries may come later. */
 const settlingMilliseconds = 3000;
@@ -17,11 +17,11 @@
 const lookMilliseconds = 500;
 
 /** Takes lines in the order of time; keeps no more than the jobs in flight and the sums. */
-export class LossAccount {
+export class LossAnalysis {
 	readonly #jobs = new Map<string, JobTrace>();
 	readonly #slices = new Map<string, SliceLosses>();
-	readonly #room = new IdleRoom();
-	readonly #paces = new TargetPaces();
+	readonly #room = new FreeCapacity();
+	readonly #paces = new TargetSpeeds();
 	#beginning: number | undefined;
 	#lookedAt = 0;
 
@@ -68,7 +68,7 @@
 	/** Counts all jobs that are left, and returns the slices, those that lose most first. */
 	close(): readonly SliceLosses[] {
 		this.#settle(Number.POSITIVE_INFINITY);
-		return [...this.#slices.values()].sort((left, right) => lostOf(right) - lostOf(left) || left.fromMilliseconds - right.fromMilliseconds);
+		return [...this.#slices.values()].sort((left, right) => countLost(right) - countLost(left) || left.fromMilliseconds - right.fromMilliseconds);
 	}
 
 	#accept(line: LogLine): void {
@@ -110,7 +110,7 @@
 
 	#count(job: JobTrace): void {
 		const slice = this.#sliceOf(job);
-		const fate = fateOf(job);
+		const fate = outcomeOf(job);
 		slice.counts[fate] += 1;
 		if (fate === 'inTime') {
 			return;
--- a/src/entries/command/losses/read-in-order.ts
+++ b/src/entries/command/losses/merge-logs.ts
@@ -14,7 +14,7 @@
 type Cursor = {readonly lines: AsyncIterator<LogLine>; next: LogLine | undefined};
 
 /** Unreadable lines are counted by kind. Each log is held back by a second of its lines. */
-export async function * readInOrder(sources: readonly Source[], unreadable: UnreadableLines): AsyncGenerator<LogLine> {
+export async function * mergeLogs(sources: readonly Source[], unreadable: UnreadableLines): AsyncGenerator<LogLine> {
 	const cursors = await Promise.all(sources.map(async source => cursorOf(sorted(source, unreadable))));
 	for (;;) {
 		const first = earliestOf(cursors);
--- a/src/entries/command/losses/fate-of.ts
+++ b/src/entries/command/losses/outcome-of.ts
@@ -1,9 +1,9 @@
 /** What a job's caller got. */
-import type {JobFate} from './job-fate.js';
+import type {JobOutcome} from './job-outcome.js';
 import type {JobTrace} from './job-trace.js';
 
 /** Counted from its first submission. Where the log has no objective, answers count as in time. */
-export function fateOf(job: JobTrace): JobFate {
+export function outcomeOf(job: JobTrace): JobOutcome {
 	if (job.end === undefined) {
 		return 'unanswered';
 	}
--- a/src/entries/command/losses/losses-command.ts
+++ b/src/entries/command/losses/report-losses.ts
@@ -2,8 +2,8 @@
 import {createReadStream} from 'node:fs';
 import process from 'node:process';
 import {describeLosses} from './describe-losses.js';
-import {LossAccount} from './loss-account.js';
-import {readInOrder} from './read-in-order.js';
+import {LossAnalysis} from './loss-analysis.js';
+import {mergeLogs} from './merge-logs.js';
 import type {UnreadableLines} from './unreadable-lines.js';
 
 /** Lines between two updates of the progress line. */
@@ -20,14 +20,14 @@
 };
 
 /** The report's lines; none where no job was found. Rejects where a file can't be read. */
-export async function losses({files, sliceSeconds, most, isJson, plot}: Options): Promise<readonly string[]> {
+export async function reportLosses({files, sliceSeconds, most, isJson, plot}: Options): Promise<readonly string[]> {
 	const unreadable: UnreadableLines = {notAnEvent: 0, cut: 0, unknownEvent: 0};
 	const sources = files.length === 0
 		? [{name: '-', input: process.stdin}]
 		: files.map(file => ({name: file, input: createReadStream(file)}));
-	const account = new LossAccount(sliceSeconds * 1000);
+	const account = new LossAnalysis(sliceSeconds * 1000);
 	let read = 0;
-	for await (const line of readInOrder(sources, unreadable)) {
+	for await (const line of mergeLogs(sources, unreadable)) {
 		account.take(line);
 		read += 1;
 		if (read % progressLines === 0 && process.stderr.isTTY) {
--- a/src/entries/command/losses/target-paces.ts
+++ b/src/entries/command/losses/target-speeds.ts
@@ -5,7 +5,7 @@
 const slowPace = 1.5;
 
 /** A moving mean for each target of what its runs took against what was expected of them. */
-export class TargetPaces {
+export class TargetSpeeds {
 	readonly #paces = new Map<string, number>();
 
 	record(target: string, ranMilliseconds: number, expectedMilliseconds: number): void {
--- a/src/entries/command/main.ts
+++ b/src/entries/command/main.ts
@@ -11,11 +11,11 @@
 import type {ChangeResult} from './change-result.js';
 import {describeHistory} from './describe-history.js';
 import {describeResult} from './describe-result.js';
-import {explainStory} from './explain-story.js';
+import {buildTimeline} from './build-timeline.js';
 import {exitCode} from './exit-code.js';
-import {FleetView} from './fleet-view.js';
+import {FleetClient} from './fleet-client.js';
 import {OperatorCommands} from './operator-commands.js';
-import {losses} from './losses/losses-command.js';
+import {reportLosses} from './losses/report-losses.js';
 import {readLogLines} from './read-log-lines.js';
 import {readProfile} from './read-profile.js';
 import {submitJobs} from './submit-jobs.js';
@@ -85,7 +85,7 @@
 		process.exitCode = await submitJobs(options.entry, input, print);
 	})
 	.command('status', 'show an entry\'s state', command => command.option('entry', {type: 'string', demandOption: true, describe: 'URL of an entry'}), async options => {
-		const status = await new FleetView('').status(options.entry.replace(/^https?:\/\//v, ''));
+		const status = await new FleetClient('').status(options.entry.replace(/^https?:\/\//v, ''));
 		if (status === undefined) {
 			fail(`${options.entry} doesn't answer`, exitCode.failed);
 		}
@@ -101,7 +101,7 @@
 			? [readLogLines('-', process.stdin)]
 			: options.files.map(async file => readLogLines(file, createReadStream(file)));
 		const lines = await Promise.all(read);
-		const story = explainStory(lines.flat(), options.id);
+		const story = buildTimeline(lines.flat(), options.id);
 		if (story.length === 0) {
 			fail(`no line names ${options.id}`, exitCode.failed);
 		}
@@ -116,7 +116,7 @@
 		.option('most', {type: 'number', default: 20, describe: 'how many slices are listed, those that lose most first'})
 		.option('plot', {type: 'string', describe: 'an SVG file for a picture of lost jobs by reason'})
 		.check(({slice, most}) => slice > 0 && most >= 0 ? true : '--slice must be above 0, --most at least 0'), async options => {
-		const lines = await losses({
+		const lines = await reportLosses({
 			files: options.files, sliceSeconds: options.slice, most: options.most, isJson: options.json, plot: options.plot,
 		});
 		if (lines.length === 0) {
@@ -161,9 +161,9 @@
 
 	return new OperatorCommands({
 		stream: new HttpLogStream(log, 'configuration'),
-		fleet: new FleetView(instances),
+		fleet: new FleetClient(instances),
 		clock: new SystemClock(),
-		progress(line) {
+		reportProgress(line) {
 			if (process.stderr.isTTY) {
 				process.stderr.write(`${line}\n`);
 			}
--- a/src/entries/command/operator-commands.ts
+++ b/src/entries/command/operator-commands.ts
@@ -14,7 +14,7 @@
 import {profileDifference} from './profile-difference.js';
 import {readConfiguration} from './read-configuration.js';
 import {readHistory} from './read-history.js';
-import {settleOutcome} from './settle-outcome.js';
+import {confirmOutcome} from './confirm-outcome.js';
 
 type Change = Exclude<ConfigurationRecord, {kind: 'snapshot'}>;
 
@@ -52,7 +52,7 @@
 			return {kind: 'unknown', changeId, detail: 'the log can\'t be read, or has no such change: if it can be read, the change was not made'};
 		}
 
-		return settleOutcome(this.context, outcome, this.context.clock.now());
+		return confirmOutcome(this.context, outcome, this.context.clock.now());
 	}
 
 	async list(): Promise<readonly ProfileRevision[]> {
--- a/src/entries/edge/edge-daemon.ts
+++ b/src/entries/edge/edge-daemon.ts
@@ -102,7 +102,7 @@
 		}));
 		const self = {address: advertisedPeers, zone: settings.zone};
 		this.#circle = own.add(new PoolReaderGroup({pool: this.#entry.pool, self, clock}));
-		this.#storePatience = own.add(new StorePatience(store, this.#entry.patience, clock));
+		this.#storePatience = own.add(new StorePatience(store, this.#entry.callerTimeouts, clock));
 		const {pauses} = this.#entry;
 		this.#front = own.add(new JobFront({
 			dispatcher: this.#entry.dispatcher, routing: this.#routing, pauses, farFactor: settings.farFactor, journal,
--- a/src/entries/edge/pooled-entry.ts
+++ b/src/entries/edge/pooled-entry.ts
@@ -54,7 +54,7 @@
 	readonly ownership: Ownership;
 	readonly pool: Pool;
 	readonly dispatcher: Dispatcher;
-	readonly patience = new CallerTimeouts();
+	readonly callerTimeouts = new CallerTimeouts();
 	readonly pauses: PauseWatch;
 	readonly #store = new DisposableStore();
 	readonly #losses: LossHistory;
@@ -87,7 +87,7 @@
 			order: new LeastLaxity(),
 			leaseMilliseconds,
 			runTimes: new MeanRunTimes(),
-			timeouts: this.patience,
+			timeouts: this.callerTimeouts,
 			losses: this.#losses,
 			pauses: this.pauses,
 			random: new Random(hashText(member)),
--- a/test/entries/command/explain-story.test.ts
+++ b/test/entries/command/build-timeline.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {Readable} from 'node:stream';
 import {test} from 'node:test';
-import {explainStory} from '../../../src/entries/command/explain-story.js';
+import {buildTimeline} from '../../../src/entries/command/build-timeline.js';
 import {readLogLines} from '../../../src/entries/command/read-log-lines.js';
 import {snapshotsOf} from '../../support/snapshots.js';
 
@@ -47,8 +47,8 @@
 		},
 		{at: 1390, event: 'processPaused', milliseconds: 700},
 	));
-	matches('story', explainStory([...first, ...second], job));
-	assert.deepEqual(explainStory([...first, ...second], 'ffffffffffffffff'), []);
+	matches('story', buildTimeline([...first, ...second], job));
+	assert.deepEqual(buildTimeline([...first, ...second], 'ffffffffffffffff'), []);
 });
 
 test('lines of other programs, and lines that were cut, are passed over', async () => {
--- a/test/entries/command/losses/loss-account.test.ts
+++ b/test/entries/command/losses/loss-analysis.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {LogLine} from '../../../../src/entries/command/log-line.js';
-import {LossAccount} from '../../../../src/entries/command/losses/loss-account.js';
+import {LossAnalysis} from '../../../../src/entries/command/losses/loss-analysis.js';
 
 type Fields = LogLine['fields'];
 
@@ -39,7 +39,7 @@
 
 /** The reasons of all jobs, in hundredths of a job. */
 function reasonsOf(lines: readonly LogLine[]): Readonly<Record<string, number>> {
-	const account = new LossAccount(2000);
+	const account = new LossAnalysis(2000);
 	for (const one of lines) {
 		account.take(one);
 	}
@@ -107,7 +107,7 @@
 });
 
 test('each job is counted once, by what became of it, and the reasons add up to those that were lost', () => {
-	const account = new LossAccount(1000);
+	const account = new LossAnalysis(1000);
 	const fates = [['answered', 'complete'], ['answered', 'complete'], ['notRun', 'deadlineUnreachable: no room in time'], ['mayHaveRun', 'executorLost: e-2 is lost'], undefined] as const;
 	for (const [index, fate] of fates.entries()) {
 		const id = `cccccccccccccc0${index}`;
--- a/test/entries/command/losses/losses-command.test.ts
+++ b/test/entries/command/losses/report-losses.test.ts
@@ -6,7 +6,7 @@
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
 import {after, test} from 'node:test';
-import {losses} from '../../../../src/entries/command/losses/losses-command.js';
+import {reportLosses} from '../../../../src/entries/command/losses/report-losses.js';
 
 const folder = mkdtempSync(join(tmpdir(), 'savorylock-losses-'));
 after(() => {
@@ -28,7 +28,7 @@
 test('lines of several files are taken in the order of time, and what tells nothing is counted by kind', async () => {
 	const first = write('first.log', ['words of a collector', refused, '{"ms":5,"at":12', '{"at":1,"event":"ofLater"}']);
 	const second = write('second.log', [`2026-12-02 entry-1 ${accepted}`]);
-	const lines = await losses({...options, files: [first, second]});
+	const lines = await reportLosses({...options, files: [first, second]});
 	assert.deepEqual(lines.map(line => JSON.parse(line) as unknown), [
 		{
 			kind: 'slice', fromMilliseconds: 0, queue: 'quick', counts: {
@@ -43,12 +43,12 @@
 
 test('a picture is drawn, and a log without jobs gives no report', async () => {
 	const plot = join(folder, 'losses.svg');
-	await losses({...options, files: [write('one.log', [accepted, refused])], plot});
+	await reportLosses({...options, files: [write('one.log', [accepted, refused])], plot});
 	assert.match(readFileSync(plot, 'utf8'), /^<svg[\s\S]*waitedForRoom/v);
-	assert.deepEqual(await losses({...options, files: [write('none.log', ['nothing'])]}), []);
+	assert.deepEqual(await reportLosses({...options, files: [write('none.log', ['nothing'])]}), []);
 });
 
 test('people get the sums first', async () => {
-	const lines = await losses({...options, isJson: false, files: [write('people.log', [accepted, refused])]});
+	const lines = await reportLosses({...options, isJson: false, files: [write('people.log', [accepted, refused])]});
 	assert.deepEqual(lines.slice(1, 3), ['whole\tall\t1\t0\t0\t1\t0\t0\twaitedForRoom 1.0', 'whole\tquick\t1\t0\t0\t1\t0\t0\twaitedForRoom 1.0']);
 });
