--- a/src/entries/daemon/daemon.ts
+++ b/src/entries/daemon/daemon.ts
@@ -1,4 +1,4 @@
-/** The life of an entry daemon. */
+/** Lifecycle of the entry daemon. */
 import process from 'node:process';
 import {wait} from '../../base/wait.js';
 import {apiServerKey} from '../../features/intake/api-server-key.js';
@@ -13,22 +13,24 @@
 import type {Settings} from '../../runtime/settings/settings.js';
 import {wireDaemon} from './wiring.js';
 
-/** How long the balancer has to see that the entry isn't ready, before it takes no new connections. */
+/** Delay between reporting not ready and closing the HTTP server, so that the load balancer can stop sending requests. */
 const readinessLeadMilliseconds = 1000;
-/** How long the others have to take over the records of submissions. */
+/** Time limit for handing the submission records over to other entries. */
 const handoverMilliseconds = 3000;
+/** Time for the last messages to leave the process. */
+const flushMilliseconds = 50;
 
 type Wired = Awaited<ReturnType<typeof wireDaemon>>;
 
-/** Runs from the settings until it's told to stop. */
+/** Runs an entry from its settings until it is stopped. */
 export class Daemon {
-	/** Starts and listens. */
+	/** Starts the services and opens the peer and HTTP ports. */
 	static async start(settings: Settings): Promise<Daemon> {
 		const wired = await wireDaemon(settings);
 		const {services, network} = wired;
 		const httpPort = await services.get(apiServerKey).listen();
 		const daemon = new Daemon(settings, wired, httpPort);
-		daemon.#report();
+		daemon.#addStatusReports();
 		services.get(runtimeKeys.journal).record('started', {
 			instance: settings.entry.instance, zone: settings.entry.zone, httpPort, peerPort: network.port,
 		});
@@ -44,8 +46,8 @@
 	}
 
 	/**
-	 * Ends gracefully: readiness goes first, then the zone's slots are handed over, new jobs are refused, and what runs
-	 * is finished, up to the drain limit. Returns the number of jobs that the limit cut off.
+	 * Shuts down gracefully: reports not ready, hands the zone's slots over, refuses new jobs, and waits for running jobs up
+	 * to the drain limit. Returns the number of jobs that were still running at the limit.
 	 */
 	async stop(): Promise<number> {
 		this.#isStopping = true;
@@ -61,31 +63,31 @@
 		const unfinished = jobs.inFlight;
 		const registry = services.get(submissionRegistryKey);
 		await Promise.race([registry.leave(), wait(clock, handoverMilliseconds)]);
-		// Without a whole handover the others must take this entry for lost, and its records too.
+		// After an incomplete handover the other entries must treat this one as failed and its records as lost.
 		if (registry.registrar.hasHandedOver) {
 			services.get(membershipKey).announceLeave();
 		}
 
 		journal.record('stopped', {unfinished});
-		await wait(clock, 50);
+		await wait(clock, flushMilliseconds);
 		this.wired.dispose();
 		return unfinished;
 	}
 
-	#report(): void {
+	#addStatusReports(): void {
 		const {services, network} = this.wired;
 		const membership = services.get(membershipKey);
 		const placement = services.get(placementServiceKey);
-		const book = services.get(profileServiceKey);
+		const profiles = services.get(profileServiceKey);
 		const status = services.get(statusReportKey);
 		status.add('entry', () => ({
 			instance: this.settings.entry.instance, zone: this.settings.entry.zone, member: network.self.id, isStopping: this.#isStopping,
 		}));
 		status.add('configuration', () => ({
-			nextOffset: book.configuration.nextOffset,
-			digest: book.configuration.digest,
-			isLoaded: book.isLoaded,
-			profiles: [...book.configuration.profiles.values()].map(({profile, revision, state}) => ({name: profile.name, revision, state})),
+			nextOffset: profiles.configuration.nextOffset,
+			digest: profiles.configuration.digest,
+			isLoaded: profiles.isLoaded,
+			profiles: [...profiles.configuration.profiles.values()].map(({profile, revision, state}) => ({name: profile.name, revision, state})),
 		}));
 		status.add('membership', () => ({members: membership.peers.map(member => ({id: member.id, zone: member.zone, heardAgoMilliseconds: membership.millisecondsSinceHeard(member.id)}))}));
 		status.add('placement', () => ({
@@ -102,7 +104,7 @@
 		}));
 		const readiness = services.get(readinessKey);
 		readiness.add('not stopping', () => !this.#isStopping);
-		readiness.add('configuration', () => book.isLoaded);
+		readiness.add('configuration', () => profiles.isLoaded);
 		const {registrar} = services.get(submissionRegistryKey);
 		status.add('submissions', () => ({
 			isActive: registrar.isActive, records: registrar.records, bytes: registrar.bytes, circle: registrar.groupMembers.map(member => member.id),
--- a/src/entries/daemon/main.ts
+++ b/src/entries/daemon/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The entry daemon, `savorylockd`. Exit codes: 0 stopped whole, 1 failed, 2 bad settings, 3 stopped with jobs cut off. */
+/** The entry daemon, `savorylockd`. Exit codes: 0 all jobs ended, 1 failed, 2 invalid settings, 3 stopped with jobs unfinished. */
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
 import yargs from 'yargs';
@@ -18,8 +18,8 @@
 	.scriptName('savorylockd')
 	.usage('$0 --settings FILE\n\nRuns one entry of savorylock until SIGTERM or SIGINT.')
 	.option('settings', {type: 'string', demandOption: true, describe: 'TOML file, see docs/operations/settings.md'})
-	.option('check', {type: 'boolean', default: false, describe: 'check the settings and end'})
-	.epilogue('Exit codes: 0 stopped whole, 1 failed, 2 bad settings or usage, 3 stopped with jobs cut off.')
+	.option('check', {type: 'boolean', default: false, describe: 'validate the settings and exit'})
+	.epilogue('Exit codes: 0 all jobs ended, 1 failed, 2 invalid settings or usage, 3 stopped with jobs unfinished.')
 	.version(version)
 	.strict()
 	.fail((message, error) => {
@@ -28,7 +28,7 @@
 	})
 	.parseSync();
 
-const document = readDocument(textOf(options.settings), entrySettingsSchema);
+const document = readDocument(readText(options.settings), entrySettingsSchema);
 if (document.kind === 'invalid') {
 	for (const problem of document.problems) {
 		process.stderr.write(`savorylockd: ${describeProblem(options.settings, problem)}\n`);
@@ -57,7 +57,7 @@
 	process.exit(exitFailed);
 }
 
-function textOf(file: string): string {
+function readText(file: string): string {
 	try {
 		return readFileSync(file, 'utf8');
 	} catch (error) {
--- a/src/entries/daemon/wiring.ts
+++ b/src/entries/daemon/wiring.ts
@@ -1,4 +1,4 @@
-/** Builds an entry daemon: the one module that knows which class stands behind each contract. */
+/** Composition root of the entry daemon: the only module that selects the implementation of each service. */
 import {readFileSync} from 'node:fs';
 import '../../features/intake/intake.contribution.js';
 import '../../features/jobs/jobs.contribution.js';
@@ -30,11 +30,11 @@
 import {HttpStreamSource} from '../../runtime/stream/http-stream-source.js';
 import {HttpTargetDriver} from '../../runtime/targets/http-target-driver.js';
 
-/** A daemon's services, and the means to end them all. */
-type Wired = Disposable & {readonly services: ServiceContainer; readonly network: TcpPeerNetwork};
+/** The services of a daemon; disposing it stops all of them. */
+type WiredDaemon = Disposable & {readonly services: ServiceContainer; readonly network: TcpPeerNetwork};
 
-/** Wires and activates everything; the peer port listens, the HTTP port doesn't yet. */
-export async function wireDaemon(settings: Settings): Promise<Wired> {
+/** Creates and activates all services. Opens the peer port, but not the HTTP port. */
+export async function wireDaemon(settings: Settings): Promise<WiredDaemon> {
 	const store = new DisposableStore();
 	const services = new ServiceContainer();
 	const clock = new SystemClock();
@@ -42,7 +42,7 @@
 	const {entry, platform, peers, limits} = settings;
 
 	const network = store.add(new TcpPeerNetwork({
-		instance: entry.instance, zone: entry.zone, address: entry.address, port: entry.peerPort, key: peers.key, transport: transportOf(settings), advertised: entry.advertisedPeerAddress,
+		instance: entry.instance, zone: entry.zone, address: entry.address, port: entry.peerPort, key: peers.key, transport: createTransport(settings), advertised: entry.advertisedPeerAddress,
 	}, clock, journal));
 	await network.listen();
 	const list = store.add(new HttpInstanceList(platform.instanceListUrl, clock, journal));
@@ -51,7 +51,7 @@
 	services.provide(runtimeKeys.clock, clock);
 	services.provide(runtimeKeys.random, new Random(hashText(network.self.id)));
 	services.provide(runtimeKeys.journal, journal);
-	services.provide(runtimeKeys.metrics, metricsOf(settings, store));
+	services.provide(runtimeKeys.metrics, createMetrics(settings, store));
 	services.provide(runtimeKeys.instanceList, list);
 	services.provide(runtimeKeys.peerNetwork, network);
 	services.provide(runtimeKeys.streams, new HttpStreamSource(platform.logUrl));
@@ -69,7 +69,7 @@
 	};
 }
 
-function transportOf({peers}: Settings): PeerTransport {
+function createTransport({peers}: Settings): PeerTransport {
 	const {certificateFile, privateKeyFile, authorityFile} = peers;
 	if (certificateFile === undefined || privateKeyFile === undefined || authorityFile === undefined) {
 		return new TcpTransport();
@@ -82,7 +82,7 @@
 	});
 }
 
-function metricsOf(settings: Settings, store: DisposableStore) {
+function createMetrics(settings: Settings, store: DisposableStore) {
 	const {statsdHost, statsdPort} = settings.platform;
 	return statsdHost === undefined ? new SilentMetrics() : store.add(new StatsdMetrics(statsdHost, statsdPort, settings.entry.zone));
 }
--- a/src/entries/edge/edge-daemon.ts
+++ b/src/entries/edge/edge-daemon.ts
@@ -1,4 +1,4 @@
-/** The life of an edge daemon: an entry on the prepared platform. */
+/** Lifecycle of the edge daemon, which runs an entry on the prepared platform. */
 import type {BootSettings} from '../../../platform/boot-settings.js';
 import {EntryDirectory} from '../../../platform/entry-directory.js';
 import {JobFront} from '../../../platform/job-front.js';
@@ -23,45 +23,45 @@
 import {version} from '../version.js';
 import {PooledEntry} from './pooled-entry.js';
 
-/** Entries of one installation share it, so that a stray program isn't taken for a peer; the network is trusted. */
+/** Shared by all entries, to reject connections from unrelated programs. It is no secret: the network is trusted. */
 const peerKey = 'savorylock';
 /**
- * Heartbeats of close entries come every 200 ms and take the place of pings. A connection that has gone silent is dialled anew before
- * its entry is taken as lost after 800 ms, and one that can't be made is tried often enough to be there soon after a cut has
- * healed. Connections to entries that are not close carry a heartbeat a second, and need no pings.
+ * Connection timing in milliseconds. A silent connection is redialled before the pool declares its peer lost (800 ms), and
+ * failed dials are repeated soon enough to reconnect quickly after a network partition. The pool's heartbeats (every 200 ms
+ * to near peers, every second to others) make pings unnecessary.
  */
 const peerTiming = {
 	ping: 300, check: 100, silence: 500, connect: 300, redial: 100, use: 0,
 };
-/** An entry's place in its groups outlives four lost renewals; the store may ask for more. */
+/** Lifetime of a group membership without a renewal; long enough for four lost renewals. The store may require more. */
 const membershipMilliseconds = 1500;
-/** An answer by the store that is older than three quarters of the time to apply a change proves nothing any more. */
-const freshShare = 0.75;
-/** The balancer misses an entry that isn't ready after two checks, a second apart. */
-const balancerMilliseconds = 2300;
-/** Before the end of the grace: what is open then is answered as it stands. */
-const lastAnswersMilliseconds = 700;
-const drainCheckMilliseconds = 50;
+/** Routing data counts as fresh for this fraction of the time within which changes must be applied. */
+const freshFraction = 0.75;
+/** Time until the load balancer has noticed that an entry is not ready: two checks, one second apart. */
+const balancerDelayMilliseconds = 2300;
+/** Time reserved at the end of the grace period to answer the jobs that are still open. */
+const finalAnswersMilliseconds = 700;
+const drainPollMilliseconds = 50;
 
-/** What a daemon is built from. */
+/** Dependencies of an edge daemon. */
 type EdgeDaemonParts = {
 	readonly settings: BootSettings;
-	/** Where peers connect, if not to where this entry listens. */
+	/** The address that peers connect to, if it differs from the listening address. */
 	readonly advertisedPeers: string | undefined;
 	readonly clock: Clock;
 	readonly journal: Journal;
 	readonly metrics: TextMetrics;
 };
 
-/** Wires the features with the platform's adapter, and ends them in order. */
+/** Connects the features to the platform adapter, and starts and stops them in order. */
 export class EdgeDaemon {
-	readonly #store = new DisposableStore();
+	readonly #disposables = new DisposableStore();
 	readonly #network: TcpPeerNetwork;
 	readonly #routing: RoutingTable;
 	readonly #catalogue: StoreCatalogue;
 	readonly #entry: PooledEntry;
-	readonly #circle: PoolReaderGroup;
-	readonly #front: JobFront;
+	readonly #readerGroup: PoolReaderGroup;
+	readonly #jobFront: JobFront;
 	readonly #directory: EntryDirectory;
 	readonly #storeRouting: StoreRouting;
 	readonly #storePatience: StorePatience;
@@ -73,21 +73,21 @@
 		const {settings, clock, journal, metrics} = parts;
 		const advertisedPeers = parts.advertisedPeers ?? settings.peers;
 		const [host = '', port = ''] = settings.peers.split(':');
-		const own = this.#store;
-		this.#network = own.add(new TcpPeerNetwork({
+		const disposables = this.#disposables;
+		this.#network = disposables.add(new TcpPeerNetwork({
 			instance: settings.instance, zone: settings.zone, address: host, port: Number(port), key: peerKey, transport: new TcpTransport(), timing: peerTiming, advertised: advertisedPeers,
 		}, clock, journal));
-		const store = own.add(new StoreClient(settings.storeAddress, journal));
-		const freshMilliseconds = settings.applyMilliseconds * freshShare;
+		const store = disposables.add(new StoreClient(settings.storeAddress, journal));
+		const freshMilliseconds = settings.applyMilliseconds * freshFraction;
 		this.#routing = new RoutingTable(freshMilliseconds, clock, journal);
-		const evacuations = own.add(new ZoneEvacuations(journal));
-		this.#storeRouting = own.add(new StoreRouting({
+		const evacuations = disposables.add(new ZoneEvacuations(journal));
+		this.#storeRouting = disposables.add(new StoreRouting({
 			store, table: this.#routing, evacuations, freshMilliseconds, clock, journal,
 		}));
-		this.#catalogue = own.add(new StoreCatalogue({
+		this.#catalogue = disposables.add(new StoreCatalogue({
 			store, zones: settings.zones, services: () => this.#routing.services, drainMilliseconds: settings.drainMilliseconds, clock, journal,
 		}));
-		this.#entry = own.add(new PooledEntry({
+		this.#entry = disposables.add(new PooledEntry({
 			zone: settings.zone,
 			member: `${settings.peers}/${clock.wallTime().toString(36)}`,
 			leaseMilliseconds: settings.leaseMilliseconds,
@@ -101,39 +101,39 @@
 			journal,
 		}));
 		const self = {address: advertisedPeers, zone: settings.zone};
-		this.#circle = own.add(new PoolReaderGroup({pool: this.#entry.pool, self, clock}));
-		this.#storePatience = own.add(new StorePatience(store, this.#entry.callerTimeouts, clock));
+		this.#readerGroup = disposables.add(new PoolReaderGroup({pool: this.#entry.pool, self, clock}));
+		this.#storePatience = disposables.add(new StorePatience(store, this.#entry.callerTimeouts, clock));
 		const {pauses} = this.#entry;
-		this.#front = own.add(new JobFront({
+		this.#jobFront = disposables.add(new JobFront({
 			dispatcher: this.#entry.dispatcher, routing: this.#routing, pauses, farFactor: settings.farFactor, journal,
 		}));
-		this.#directory = own.add(new EntryDirectory({
+		this.#directory = disposables.add(new EntryDirectory({
 			store,
 			self,
 			clock,
 			journal,
 			onEntries: entries => {
-				this.#circle.addPeers(entries);
+				this.#readerGroup.addPeers(entries);
 				this.#entry.pool.addPeers(entries);
 			},
 		}));
-		own.add(pauses.onDidPause(({milliseconds}) => {
-			// A route may have been added meanwhile: without a new answer by the store its absence can't be told.
+		disposables.add(pauses.onDidPause(({milliseconds}) => {
+			// Routes may have been added during the pause: until the store answers again, a missing route is not conclusive.
 			this.#routing.invalidate();
 			journal.record('processPaused', {milliseconds: Math.round(milliseconds)});
 		}));
-		this.#metricsServer = own.add(new StatusServer(() => {
-			this.#measure();
+		this.#metricsServer = disposables.add(new StatusServer(() => {
+			this.#updateGauges();
 			return {status: 200, text: metrics.render()};
 		}));
-		this.#readiness = own.add(new ReadinessServer(() => !this.#isLeaving && this.#routing.configuration !== undefined));
+		this.#readiness = disposables.add(new ReadinessServer(() => !this.#isLeaving && this.#routing.configuration !== undefined));
 	}
 
-	/** Listens everywhere and joins the others; metrics are served on the given port. */
+	/** Opens all listeners, with metrics on the given port, and joins the pool. */
 	async start(metricsPort: number): Promise<void> {
 		const {settings, journal} = this.parts;
 		await this.#network.listen();
-		await this.#front.listen(settings.intake);
+		await this.#jobFront.listen(settings.intake);
 		await this.#readiness.listen(settings.readiness);
 		await this.#metricsServer.listen(`${settings.address}:${metricsPort}`);
 		this.#entry.start();
@@ -141,37 +141,38 @@
 		this.#directory.start();
 		this.#storeRouting.start();
 		this.#storePatience.start();
-		this.#catalogue.start(this.#circle);
+		this.#catalogue.start(this.#readerGroup);
 		journal.record('edgeStarted', {
 			instance: settings.instance, zone: settings.zone, intake: settings.intake, peers: settings.peers, version,
 		});
 	}
 
 	/**
-	 * Ends gracefully. The targets go to other entries at once, with what runs there; callers' connections are served until
-	 * the balancer has taken note, then each answer ends its connection. Resolves when nothing is left or time is up.
+	 * Shuts down gracefully. Hands the targets and their runs over to other entries at once, and serves callers until the load
+	 * balancer has noticed; after that, each connection closes with its next answer. Resolves once no job is left or the grace
+	 * period is over.
 	 */
 	async stop(): Promise<void> {
 		const {clock, journal, settings} = this.parts;
 		const {dispatcher, executor} = this.#entry;
-		const begunAt = clock.now();
+		const startedAt = clock.now();
 		journal.record('edgeStopping', {inFlight: dispatcher.inFlight, ownedTargets: executor.ownedTargets});
 		this.#isLeaving = true;
 		await this.#entry.leave();
-		await wait(clock, balancerMilliseconds - (clock.now() - begunAt));
-		this.#front.closeConnectionsAfterAnswers();
-		while (dispatcher.inFlight > 0 && clock.now() - begunAt < settings.graceMilliseconds - lastAnswersMilliseconds) {
-			await wait(clock, drainCheckMilliseconds);
+		await wait(clock, balancerDelayMilliseconds - (clock.now() - startedAt));
+		this.#jobFront.closeConnectionsAfterAnswers();
+		while (dispatcher.inFlight > 0 && clock.now() - startedAt < settings.graceMilliseconds - finalAnswersMilliseconds) {
+			await wait(clock, drainPollMilliseconds);
 		}
 
-		this.#front.close();
+		this.#jobFront.close();
 		dispatcher.endAllJobs();
-		await wait(clock, drainCheckMilliseconds);
+		await wait(clock, drainPollMilliseconds);
 		journal.record('edgeStopped', {inFlight: dispatcher.inFlight});
-		this.#store.dispose();
+		this.#disposables.dispose();
 	}
 
-	#measure(): void {
+	#updateGauges(): void {
 		const {metrics} = this.parts;
 		const {dispatcher, executor} = this.#entry;
 		metrics.gauge('jobs_in_flight', dispatcher.inFlight);
--- a/src/entries/edge/main.ts
+++ b/src/entries/edge/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
  * The edge daemon, `savorylock-edge [METRICS-PORT] [--advertised-peers IP:PORT]`. Exit codes: 0 stopped, 2 bad settings.
- * Its peers connect to the advertised address, where the daemon is behind a relay; else to where it listens.
+ * Peers connect to the advertised address if one is given (as behind a relay), otherwise to the listening address.
  */
 import './early-signals.js';
 import {readFileSync} from 'node:fs';
@@ -30,14 +30,13 @@
 	settings, advertisedPeers: values['advertised-peers'], clock, journal, metrics,
 });
 
-// An error here is a defect of one request or task; ending the process would fail all others with it.
+// Keeps the process alive: an unhandled error affects one request or task, exiting would fail all of them.
 process.on('uncaughtException', error => {
 	journal.record('errorUnhandled', {detail: error.stack ?? error.message});
 });
 process.on('unhandledRejection', error => {
 	journal.record('errorUnhandled', {detail: error instanceof Error ? error.stack : String(error)});
 });
-// Without a handler SIGHUP ends the process.
 process.on('SIGHUP', () => {
 	reload();
 });
@@ -48,7 +47,7 @@
 });
 await daemon.start(metricsPort());
 
-/** The first argument, or the port that exporters commonly use. */
+/** The first argument, or the default port. */
 function metricsPort(): number {
 	return Number(positionals[0] ?? defaultMetricsPort);
 }
@@ -62,7 +61,7 @@
 	}
 }
 
-/** What a running process could take over from the file is only where it finds the others; those it finds by itself. */
+/** Validates the settings file and logs the result. No setting is applied before the next start. */
 function reload(): void {
 	try {
 		readBootSettings(readFileSync(file, 'utf8'));
--- a/src/entries/edge/pooled-entry.ts
+++ b/src/entries/edge/pooled-entry.ts
@@ -1,4 +1,4 @@
-/** An entry without its interfaces to the outside: what it owns, what it shares, and its jobs. */
+/** The core of an entry, without its external interfaces: target ownership, pool membership and job dispatch. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
@@ -27,16 +27,16 @@
 import {PauseWatch} from '../../runtime/pause-watch.js';
 import type {PeerNetwork} from '../../runtime/peers/peer-network.js';
 
-/** How long the pool may take to form before a zone without an entry is taken as such. */
+/** Delay after the start before zones without entries are covered, so that the pool can form first. */
 const coverDelayMilliseconds = 1500;
-const coverCheckMilliseconds = 200;
+const coverIntervalMilliseconds = 200;
 
-/** What an entry is built from. */
+/** Dependencies of an entry. */
 type PooledEntryParts = {
 	readonly zone: AvailabilityZone;
-	/** Names this life of the entry in the store's groups. */
+	/** The name of this process in the store's groups; it differs after each restart. */
 	readonly member: string;
-	/** The longest lease that a target grants. */
+	/** The longest lease that a target grants, in milliseconds. */
 	readonly leaseMilliseconds: number;
 	readonly network: PeerNetwork;
 	readonly group: PartitionGroup;
@@ -48,7 +48,7 @@
 	readonly journal: Journal;
 };
 
-/** Connects ownership, execution, pool and dispatch; tests and the emulator build entries from it as the daemon does. */
+/** Connects ownership, execution, pool and dispatch. Used by the daemon and by tests. */
 export class PooledEntry implements Disposable {
 	readonly executor: Executor;
 	readonly ownership: Ownership;
@@ -56,31 +56,31 @@
 	readonly dispatcher: Dispatcher;
 	readonly callerTimeouts = new CallerTimeouts();
 	readonly pauses: PauseWatch;
-	readonly #store = new DisposableStore();
-	readonly #losses: LossHistory;
+	readonly #disposables = new DisposableStore();
+	readonly #lossHistory: LossHistory;
 	#isLeaving = false;
 
 	constructor(private readonly parts: PooledEntryParts) {
 		const {zone, member, leaseMilliseconds, network, group, catalogue, evacuations, orders, clock, journal} = parts;
-		const own = this.#store;
-		this.#losses = new LossHistory(clock, journal);
-		this.pauses = own.add(new PauseWatch(clock));
-		this.executor = own.add(new Executor({
-			leaseMilliseconds, orders, health: new TargetHealth(journal), losses: this.#losses, clock, journal,
+		const disposables = this.#disposables;
+		this.#lossHistory = new LossHistory(clock, journal);
+		this.pauses = disposables.add(new PauseWatch(clock));
+		this.executor = disposables.add(new Executor({
+			leaseMilliseconds, orders, health: new TargetHealth(journal), losses: this.#lossHistory, clock, journal,
 		}));
-		this.pool = own.add(new Pool({
+		this.pool = disposables.add(new Pool({
 			network,
-			ownState: () => this.#state(),
+			ownState: () => this.#nodeState(),
 			peersInUse: () => new Set([...this.executor.requesters(), ...this.dispatcher.jobs.owners()]),
 			pauses: this.pauses,
 			clock,
 			journal,
 		}));
-		own.add(new RemoteRuns(this.pool, this.executor, clock, journal));
-		this.ownership = own.add(new Ownership({
+		disposables.add(new RemoteRuns(this.pool, this.executor, clock, journal));
+		this.ownership = disposables.add(new Ownership({
 			zone, member, store: group, catalogue, evacuations, executor: this.executor, orders, clock, journal,
 		}));
-		this.dispatcher = own.add(new Dispatcher({
+		this.dispatcher = disposables.add(new Dispatcher({
 			zone,
 			executor: this.executor,
 			pool: this.pool,
@@ -88,28 +88,28 @@
 			leaseMilliseconds,
 			runTimes: new MeanRunTimes(),
 			timeouts: this.callerTimeouts,
-			losses: this.#losses,
+			losses: this.#lossHistory,
 			pauses: this.pauses,
 			random: new Random(hashText(member)),
 			clock,
 			journal,
 		}));
-		this.#connect();
+		this.#subscribe();
 	}
 
-	/** Joins its zone's group and begins to talk to the others. */
+	/** Joins the pool and the group of the entry's zone. */
 	start(): void {
 		const {clock} = this.parts;
 		this.pool.start();
 		this.ownership.coverZones(new Set());
 		clock.schedule(coverDelayMilliseconds, () => {
-			this.#store.add(repeat(clock, coverCheckMilliseconds, () => {
-				this.#cover();
+			this.#disposables.add(repeat(clock, coverIntervalMilliseconds, () => {
+				this.#coverZones();
 			}));
 		});
 	}
 
-	/** Gives all targets to the other entries, with what runs there. Its own jobs go on, on the others' targets. */
+	/** Hands all targets and their runs over to other entries. This entry's own jobs continue on the targets of other entries. */
 	async leave(): Promise<void> {
 		this.#isLeaving = true;
 		this.pool.broadcastState();
@@ -117,37 +117,37 @@
 	}
 
 	dispose(): void {
-		this.#store.dispose();
+		this.#disposables.dispose();
 	}
 
-	#connect(): void {
+	#subscribe(): void {
 		const {routing} = this.parts;
-		const own = this.#store;
-		own.add(this.executor.onDidCompareClocks(uncounted => {
+		const disposables = this.#disposables;
+		disposables.add(this.executor.onDidCompareClocks(uncounted => {
 			this.pauses.noteUncounted(uncounted);
 		}));
-		own.add(this.pauses.onDidPause(pause => {
-			this.#verify(pause.milliseconds);
+		disposables.add(this.pauses.onDidPause(pause => {
+			this.#verifyPause(pause.milliseconds);
 		}));
-		own.add(this.pool.onDidDetectEviction(() => {
+		disposables.add(this.pool.onDidDetectEviction(() => {
 			this.pauses.doubt();
 			this.executor.pollTargets();
 		}));
-		own.add(this.executor.onDidChangeFreeCapacity(() => {
+		disposables.add(this.executor.onDidChangeFreeCapacity(() => {
 			this.pool.announceCapacity();
 		}));
-		own.add(this.ownership.onDidHandOver(handovers => {
+		disposables.add(this.ownership.onDidHandOver(handovers => {
 			this.dispatcher.recordHandovers(handovers, this.pool.self);
 			const requesters = new Set(handovers.flatMap(({runs}) => runs.map(({requester}) => requester)));
 			this.pool.broadcast({kind: 'handover', handovers, requesters: this.pool.describePeers(requesters)});
 		}));
-		own.add(this.#losses.onDidRecord(loss => {
+		disposables.add(this.#lossHistory.onDidRecord(loss => {
 			this.pool.broadcast({kind: 'loss', loss});
 		}));
-		own.add(routing.onDidChange(() => {
+		disposables.add(routing.onDidChange(() => {
 			this.pool.broadcastState();
 		}));
-		own.add(this.pool.onDidReceive(({from, message}) => {
+		disposables.add(this.pool.onDidReceive(({from, message}) => {
 			if (message.kind === 'handover') {
 				this.ownership.renew();
 			} else if (message.kind === 'state' && message.state.routingVersion > routing.version) {
@@ -155,28 +155,28 @@
 			} else if (message.kind === 'wantRouting' && routing.configuration !== undefined) {
 				this.pool.send(from.id, {kind: 'routing', configuration: routing.configuration});
 			} else if (message.kind === 'loss') {
-				this.#losses.apply(message.loss);
+				this.#lossHistory.apply(message.loss);
 			} else if (message.kind === 'routing') {
 				routing.update(message.configuration, 'peer');
 			}
 		}));
 	}
 
-	/** The targets' clocks tell a suspension from a time of day that was set; without targets it's taken for one. */
-	#verify(milliseconds: number): void {
+	/** Compares with the targets' clocks whether the system was suspended or its clock set. Without targets, assumes a suspension. */
+	#verifyPause(milliseconds: number): void {
 		this.executor.pollTargets();
 		if (this.executor.ownedTargets === 0) {
 			this.pauses.noteUncounted({milliseconds, since: this.parts.clock.now()});
 		}
 	}
 
-	#state(): NodeState {
+	#nodeState(): NodeState {
 		return {
 			isLeaving: this.#isLeaving, routingVersion: this.parts.routing.version, demand: this.dispatcher.jobs.minimumNeeds, freeCapacity: this.executor.freeCapacity,
 		};
 	}
 
-	#cover(): void {
+	#coverZones(): void {
 		if (this.#isLeaving) {
 			return;
 		}
--- a/src/entries/version.ts
+++ b/src/entries/version.ts
@@ -1,7 +1,7 @@
-/** The version of this software. */
+/** The program's version. */
 import {existsSync, readFileSync} from 'node:fs';
 
-/** From package.json in the nearest folder above: compiled modules and the bundle lie at different depths. */
+/** Read from the nearest package.json in a parent folder, since compiled modules and the bundle have different depths. */
 export const {version} = JSON.parse(readFileSync(nearestPackageFile(), 'utf8')) as {readonly version: string};
 
 function nearestPackageFile(): URL {
