--- a/src/entries/command/append-change.ts
+++ b/src/entries/command/append-change.ts
@@ -1,4 +1,4 @@
-/** Appends an operator's change and finds out what became of it. */
+/** Appends an operator's change to the log and waits for its outcome. */
 import {CancellationSource} from '../../base/cancellation-source.js';
 import type {JsonValue} from '../../base/json-value.js';
 import type {ConfigurationRecord} from '../../features/profiles/configuration-record.js';
@@ -7,16 +7,16 @@
 import type {OperatorContext} from './operator-context.js';
 import {confirmOutcome} from './confirm-outcome.js';
 
-/** Appends of one change; a second one does no harm, since the fold knows the change by its id. */
-const appendAttempts = 3;
+/** Attempts to append a change. Repeating one is safe: replicas ignore duplicates by change id. */
+const maxAppendAttempts = 3;
 
 type Change = Exclude<ConfigurationRecord, {kind: 'snapshot'}>;
 
-/** Ends with the change in force everywhere, or with what is known instead. */
+/** Resolves once the change has been applied by all entries, or with the outcome known so far. */
 export async function appendChange(context: OperatorContext, change: Change): Promise<ChangeResult> {
 	const startedAt = context.clock.now();
 	let detail = '';
-	for (let attempt = 0; attempt < appendAttempts; attempt++) {
+	for (let attempt = 0; attempt < maxAppendAttempts; attempt++) {
 		context.reportProgress(`appending change ${change.changeId}`);
 		const appended = await context.stream.append(change, new CancellationSource().token);
 		if (appended.kind === 'notAppended') {
--- a/src/entries/command/build-timeline.ts
+++ b/src/entries/command/build-timeline.ts
@@ -1,12 +1,12 @@
-/** The story of one job, task, target or entry from logs. */
+/** Builds the timeline of one job, task, target or entry from logs. */
 import {eventCatalogue} from '../../runtime/journal/event-catalogue.js';
 import type {LogLine} from './log-line.js';
 
-/** Events of a target or an entry tell something of a job when they are near it. */
+/** Events of the targets and entries involved are included up to this distance in time. */
 const nearbyMilliseconds = 3000;
 
-/** Events that explain others by the target or entry that they name. */
-const context = new Set([
+/** Events included if they name a target or entry that is involved. */
+const relatedEvents = new Set([
 	'poolMemberLost',
 	'poolMemberMet',
 	'targetSilent',
@@ -21,41 +21,53 @@
 	'targetEntryPassedOver',
 	'targetRestarted',
 ]);
-/** Events that concern all requests of the process that wrote them. */
-const everywhere = new Set(['edgeStarted', 'edgeStopping', 'edgeStopped', 'processPaused', 'touchLost', 'storeAway', 'storeBack', 'errorUnhandled', 'linesDropped', 'routingChanged', 'zoneEvacuated']);
+/** Events included for every process that logged the id, since they affect all of its requests. */
+const processEvents = new Set([
+	'edgeStarted',
+	'edgeStopping',
+	'edgeStopped',
+	'processPaused',
+	'touchLost',
+	'storeAway',
+	'storeBack',
+	'errorUnhandled',
+	'linesDropped',
+	'routingChanged',
+	'zoneEvacuated',
+]);
 
 /**
- * Lines that name the id, and near them those that tell of the targets and entries that took part; in the order of time.
- * Empty where no line names the id.
+ * Returns the lines that name the id, and related lines close to them in time, ordered by time. Empty if no line names
+ * the id.
  */
 export function buildTimeline(lines: readonly LogLine[], id: string): readonly string[] {
-	const own = lines.filter(line => names(line, id));
-	if (own.length === 0) {
+	const matching = lines.filter(line => mentions(line, id));
+	if (matching.length === 0) {
 		return [];
 	}
 
-	const from = Math.min(...own.map(line => line.at)) - nearbyMilliseconds;
-	const to = Math.max(...own.map(line => line.at)) + nearbyMilliseconds;
-	const parties = new Set<unknown>(own.flatMap(line => [line.fields.target, line.fields.owner, line.fields.requester, line.fields.member]).filter(party => party !== undefined));
-	const sources = new Set(own.map(line => line.source));
-	const story = lines.filter(line => {
-		if (names(line, id)) {
+	const from = Math.min(...matching.map(line => line.at)) - nearbyMilliseconds;
+	const to = Math.max(...matching.map(line => line.at)) + nearbyMilliseconds;
+	const participants = new Set<unknown>(matching.flatMap(({fields}) => [fields.target, fields.owner, fields.requester, fields.member]).filter(participant => participant !== undefined));
+	const sources = new Set(matching.map(line => line.source));
+	const selected = lines.filter(line => {
+		if (mentions(line, id)) {
 			return true;
 		}
 
 		const isNear = line.at >= from && line.at <= to;
-		const isParty = context.has(line.event) && (parties.has(line.fields.target) || parties.has(line.fields.member));
-		return isNear && (isParty || (everywhere.has(line.event) && sources.has(line.source)));
+		const isRelated = relatedEvents.has(line.event) && (participants.has(line.fields.target) || participants.has(line.fields.member));
+		return isNear && (isRelated || (processEvents.has(line.event) && sources.has(line.source)));
 	});
-	const [first] = own;
-	return [...story].sort((left, right) => left.at - right.at).map(line => describe(line, first!.at));
+	const [first] = matching;
+	return [...selected].sort((left, right) => left.at - right.at).map(line => formatLine(line, first!.at));
 }
 
-function names({fields}: LogLine, id: string): boolean {
+function mentions({fields}: LogLine, id: string): boolean {
 	return Object.values(fields).some(value => value === id || (typeof value === 'string' && value.startsWith(`${id}.`)));
 }
 
-function describe({source, at, event, fields}: LogLine, since: number): string {
+function formatLine({source, at, event, fields}: LogLine, since: number): string {
 	const meaning = event in eventCatalogue ? eventCatalogue[event as keyof typeof eventCatalogue].meaning : 'an event of another version';
 	const details = Object.entries(fields).map(([name, value]) => `${name}=${String(value)}`).join(' ');
 	const offset = at - since;
--- a/src/entries/command/change-result.ts
+++ b/src/entries/command/change-result.ts
@@ -1,7 +1,7 @@
-/** What became of a change that an operator asked for. */
+/** Result of an operator's change. */
 import type {Revision} from '../../base/revision.js';
 
-/** Every change command ends with one of these. */
+/** The result that a change command reports. */
 export type ChangeResult =
 	| {readonly kind: 'inForce'; readonly revision: Revision; readonly entries: number; readonly milliseconds: number}
 	| {readonly kind: 'notYetEverywhere'; readonly revision: Revision; readonly entries: number; readonly missing: readonly string[]}
--- a/src/entries/command/describe-history.ts
+++ b/src/entries/command/describe-history.ts
@@ -1,7 +1,7 @@
-/** Wording of a profile's history. */
+/** Formats a profile's history as text. */
 import type {HistoryEntry} from './history-entry.js';
 
-/** One line: the offset, when and by whom, what was asked, and what became of it. */
+/** One line with the offset, time, operator, change and outcome. */
 export function describeHistory({offset, change, outcome}: HistoryEntry): string {
 	const when = change.at === 0 ? 'at an unknown time' : new Date(change.at).toISOString();
 	const base = change.kind === 'publish' ? '' : ` based on ${change.base}`;
--- a/src/entries/command/describe-result.ts
+++ b/src/entries/command/describe-result.ts
@@ -1,9 +1,9 @@
-/** Wording and exit codes of change results. */
+/** Formats change results as text and maps them to exit codes. */
 import {match} from 'ts-pattern';
 import type {ChangeResult} from './change-result.js';
 import {exitCode} from './exit-code.js';
 
-/** The line that the command ends with, and its exit code. */
+/** The final line of the command's output, and its exit code. */
 export function describeResult(result: ChangeResult): {readonly line: string; readonly code: number} {
 	return match(result)
 		.with({kind: 'inForce'}, ({revision, entries, milliseconds}) => ({
@@ -13,16 +13,16 @@
 			line: `accepted as revision ${revision}; not yet seen on ${missing.join(', ')} (${entries - missing.length} of ${entries} entries have it)`, code: exitCode.notYetEverywhere,
 		}))
 		.with({kind: 'rejected'}, ({cause, winner}) => ({
-			line: `rejected: ${causes[cause] ?? cause}${winner === undefined ? '' : ` (revision ${winner} stands)`}`, code: exitCode.rejected,
+			line: `rejected: ${causeTexts[cause] ?? cause}${winner === undefined ? '' : ` (revision ${winner} stands)`}`, code: exitCode.rejected,
 		}))
 		.with({kind: 'notAppended'}, ({detail}) => ({line: `nothing was changed: ${detail}`, code: exitCode.failed}))
 		.with({kind: 'unknown'}, ({changeId, detail}) => ({
-			line: `unknown: the log didn't say what became of the change (${detail}); find out with: savorylock settle ${changeId}`, code: exitCode.unknown,
+			line: `unknown: the outcome of the change could not be read from the log (${detail}); find out with: savorylock settle ${changeId}`, code: exitCode.unknown,
 		}))
 		.exhaustive();
 }
 
-const causes: Readonly<Record<string, string>> = {
+const causeTexts: Readonly<Record<string, string>> = {
 	exists: 'a profile of this name is in force; revise it instead',
 	absent: 'no profile of this name is in force; publish it instead',
 	superseded: 'another change came first',
--- a/src/entries/command/exit-code.ts
+++ b/src/entries/command/exit-code.ts
@@ -1,6 +1,6 @@
-/** How the command ends; docs/INTERFACES.md lists the codes. */
+/** Exit codes of `savorylock`, documented in docs/INTERFACES.md. */
 
-/** Scripts tell outcomes apart by these. */
+/** Exit codes by outcome. */
 export const exitCode = {
 	done: 0,
 	failed: 1,
--- a/src/entries/command/find-outcome.ts
+++ b/src/entries/command/find-outcome.ts
@@ -1,13 +1,13 @@
-/** Looks a change up in the log. */
+/** Finds the outcome of a change in the log. */
 import type {ChangeOutcome} from '../../features/profiles/change-outcome.js';
 import type {LogStream} from '../../runtime/stream/log-stream.js';
 import {readConfiguration} from './read-configuration.js';
 
-/** What the log says of a change by its id; nothing where it can't be read, or has no such change. */
+/** The outcome of the change with the given id, or undefined if the log can't be read or doesn't contain it. */
 export async function findOutcome(stream: LogStream, changeId: string): Promise<ChangeOutcome | undefined> {
 	try {
-		const ledger = await readConfiguration(stream);
-		return ledger.configuration.changes.get(changeId);
+		const replica = await readConfiguration(stream);
+		return replica.configuration.changes.get(changeId);
 	} catch {
 		return undefined;
 	}
--- a/src/entries/command/fleet-client.ts
+++ b/src/entries/command/fleet-client.ts
@@ -1,4 +1,4 @@
-/** The entries as an operator sees them. */
+/** HTTP client for the instance list and the status of entries. */
 import {request} from 'undici';
 import * as z from 'zod';
 
@@ -12,20 +12,20 @@
 });
 const statusSchema = z.looseObject({configuration: z.looseObject({nextOffset: z.int(), digest: z.string()})});
 
-type Listed = z.output<typeof listSchema>['instances'][number];
+type ListedInstance = z.output<typeof listSchema>['instances'][number];
 
-/** Reads the instance list and the entries' status. */
+/** Queries the instance list and the entries listed in it. */
 export class FleetClient {
 	constructor(private readonly instancesUrl: string) {}
 
 	/** The listed live entries. */
-	async entries(): Promise<readonly Listed[]> {
+	async entries(): Promise<readonly ListedInstance[]> {
 		const response = await request(`${this.instancesUrl}/instances`, {headersTimeout: listTimeoutMilliseconds});
 		const {instances} = listSchema.parse(await response.body.json());
 		return instances.filter(instance => instance.kind === 'entry' && instance.state === 'live');
 	}
 
-	/** An entry's status, or nothing where it doesn't answer. */
+	/** The status of an entry, or undefined if it doesn't answer. */
 	async status(address: string): Promise<z.output<typeof statusSchema> | undefined> {
 		try {
 			const response = await request(`http://${address}/v1/status`, {headersTimeout: statusTimeoutMilliseconds, bodyTimeout: statusTimeoutMilliseconds});
@@ -35,13 +35,13 @@
 		}
 	}
 
-	/** Names of the entries that haven't reached an offset. */
+	/** The number of listed entries, and the ids of those that haven't reached an offset. */
 	async checkProgress(nextOffset: number): Promise<{readonly entries: number; readonly missing: readonly string[]}> {
 		const entries = await this.entries();
-		const states = await Promise.all(entries.map(async entry => {
+		const missing = await Promise.all(entries.map(async entry => {
 			const status = await this.status(entry.address);
 			return (status?.configuration.nextOffset ?? -1) >= nextOffset ? [] : [entry.id];
 		}));
-		return {entries: entries.length, missing: states.flat()};
+		return {entries: entries.length, missing: missing.flat()};
 	}
 }
--- a/src/entries/command/log-line.ts
+++ b/src/entries/command/log-line.ts
@@ -1,10 +1,10 @@
-/** A line of an edge daemon's log. */
+/** A parsed line of an edge daemon's log. */
 
-/** What every line has, and the event's own fields. */
+/** The common fields of a line and those of its event. */
 export type LogLine = {
-	/** Where it was read: the file's name, or `-` for standard input. */
+	/** The file's name, or `-` for standard input. */
 	readonly source: string;
-	/** Time of day in milliseconds since the epoch. */
+	/** Wall-clock time in milliseconds since the epoch. */
 	readonly at: number;
 	readonly event: string;
 	readonly fields: Readonly<Record<string, unknown>>;
--- a/src/entries/command/losses/attempt.ts
+++ b/src/entries/command/losses/attempt.ts
@@ -1,16 +1,15 @@
-/** One try to run a task, as logs tell it. */
+/** One attempt to run a task, as recorded in logs. */
 
-/** Times are those of the lines, in milliseconds since the epoch; what no line told yet is absent. */
+/** Times are the log lines' wall-clock times in milliseconds since the epoch. Fields are absent until a line sets them. */
 export type Attempt = {
 	readonly number: number;
-	/** Sent to another entry. */
+	/** When it was sent to another entry. */
 	sentAt?: number;
-	/** Ordered from a target. */
+	/** When it was started on a target. */
 	startedAt?: number;
 	target?: string;
-	/** What the task takes of the target's processors, in thousandths of a core. */
+	/** The processor share that the task reserves on the target, in thousandths of a core. */
 	cpuMillis?: number;
-	/** Why it was stopped. */
 	stopCause?: string;
 	endedAt?: number;
 	outcome?: string;
--- a/src/entries/command/losses/attribute-loss.ts
+++ b/src/entries/command/losses/attribute-loss.ts
@@ -1,103 +1,103 @@
-/** Which part of a job's way took its time. */
+/** Attributes the delay of a job to its causes. */
 import type {Attempt} from './attempt.js';
 import type {FreeCapacity} from './free-capacity.js';
 import type {JobTrace} from './job-trace.js';
 import type {LossReason} from './loss-reason.js';
 import type {TargetSpeeds} from './target-speeds.js';
 
-type Surroundings = {readonly room: FreeCapacity; readonly paces: TargetSpeeds};
-type Part = {readonly reason: LossReason; readonly milliseconds: number};
+type FleetState = {readonly freeCapacity: FreeCapacity; readonly speeds: TargetSpeeds};
+type Delay = {readonly reason: LossReason; readonly milliseconds: number};
 
-/** Causes in `runStopped` and `runEnded` lines that name more than the outcome does. */
+/** Causes in `runStopped` and `runEnded` lines that are more specific than the outcome. */
 const unansweredCause = 'start without an answer';
 const overdueCause = 'overdue';
-const nobodyCause = 'handed over to nobody';
-/** For a task that no line told the need of: less than any target has. */
+const unadoptedCause = 'handed over to nobody';
+/** Assumed for tasks whose demand was not logged; fits on every target with free capacity. */
 const unknownCpuMillis = 1;
 
 /**
- * Shares of the reasons for a job that was not answered in time, which add up to 1. They divide the time of the task that the
- * job waited for last: all but what a sound run of it takes.
+ * Returns the reasons why a job was not answered in time, with weights that add up to 1. The weights divide the job's delay,
+ * which is the time until its last task ended, less the expected run time of that task.
  */
-export function attributeLoss(job: JobTrace, surroundings: Surroundings): ReadonlyMap<LossReason, number> {
+export function attributeLoss(job: JobTrace, fleet: FleetState): ReadonlyMap<LossReason, number> {
 	const sums = new Map<LossReason, number>();
-	for (const {reason, milliseconds} of partsOf(job, surroundings)) {
+	for (const {reason, milliseconds} of delaysOf(job, fleet)) {
 		if (milliseconds > 0) {
 			sums.set(reason, (sums.get(reason) ?? 0) + milliseconds);
 		}
 	}
 
-	const whole = [...sums.values()].reduce((total, part) => total + part, 0);
-	return whole === 0 ? new Map([['unexplained', 1]]) : new Map([...sums].map(([reason, part]) => [reason, part / whole]));
+	const total = [...sums.values()].reduce((sum, value) => sum + value, 0);
+	return total === 0 ? new Map([['unexplained', 1]]) : new Map([...sums].map(([reason, milliseconds]) => [reason, milliseconds / total]));
 }
 
-function partsOf(job: JobTrace, surroundings: Surroundings): readonly Part[] {
-	const parts: Part[] = [{reason: 'resubmitted', milliseconds: job.acceptedAt - job.firstAcceptedAt}];
+function delaysOf(job: JobTrace, fleet: FleetState): readonly Delay[] {
+	const delays: Delay[] = [{reason: 'resubmitted', milliseconds: job.acceptedAt - job.firstAcceptedAt}];
 	if (job.end === undefined) {
-		// Its entry was lost, or the log ends before its answer.
-		return [...parts, {reason: 'resubmitted', milliseconds: job.patienceMilliseconds}];
+		// The entry was lost, or the log ends before the answer.
+		return [...delays, {reason: 'resubmitted', milliseconds: job.callerTimeoutMilliseconds}];
 	}
 
-	const attempts = lastAwaited(job);
-	const cpuMillis = cpuOf(job);
-	let reached = job.acceptedAt;
+	const attempts = criticalAttempts(job);
+	const cpuMillis = cpuDemandOf(job);
+	let previousEnd = job.acceptedAt;
 	for (const [index, attempt] of attempts.entries()) {
-		const begunAt = attempt.sentAt ?? attempt.startedAt ?? reached;
+		const attemptStart = attempt.sentAt ?? attempt.startedAt ?? previousEnd;
 		const next = attempts[index + 1];
-		// An attempt that is followed by another one has ended, whether a line tells of it or not.
+		// An attempt that is followed by another one has ended, even if its end was not logged.
 		const endedAt = attempt.endedAt ?? next?.sentAt ?? next?.startedAt ?? job.end.at;
-		parts.push(...waitBetween(reached, begunAt, cpuMillis, surroundings.room), ...partsOfAttempt(job, attempt, endedAt, surroundings));
-		reached = endedAt;
+		delays.push(...waitDelays(previousEnd, attemptStart, cpuMillis, fleet.freeCapacity), ...attemptDelays(job, attempt, endedAt, fleet));
+		previousEnd = endedAt;
 	}
 
 	const isWaiting = attempts.at(-1)?.outcome !== 'done';
-	return isWaiting ? [...parts, ...waitBetween(reached, job.end.at, cpuMillis, surroundings.room)] : [...parts, {reason: 'onTheWay', milliseconds: job.end.at - reached}];
+	return isWaiting ? [...delays, ...waitDelays(previousEnd, job.end.at, cpuMillis, fleet.freeCapacity)] : [...delays, {reason: 'onTheWay', milliseconds: job.end.at - previousEnd}];
 }
 
-/** The attempts of the task that ended last, or of one that has not ended; none where that one was never begun. */
-function lastAwaited(job: JobTrace): readonly Attempt[] {
+/** The attempts of the task that ended last, or of one that has not ended. Empty if that task was never started. */
+function criticalAttempts(job: JobTrace): readonly Attempt[] {
 	const {tasks} = job;
 	const isDone = (attempts: readonly Attempt[]) => attempts.some(({outcome}) => outcome === 'done');
-	const open = tasks.filter(attempts => !isDone(attempts));
-	const isNeverBegun = tasks.length < job.taskCount;
+	const unfinished = tasks.filter(attempts => !isDone(attempts));
+	const isAnyNotStarted = tasks.length < job.taskCount;
 	if (job.end?.verdict !== 'answered') {
-		const running = open.find(attempts => attempts.at(-1)?.endedAt === undefined);
-		return (job.end?.detail.startsWith('executorLost') ? running : undefined) ?? (isNeverBegun ? [] : (open[0] ?? []));
+		const running = unfinished.find(attempts => attempts.at(-1)?.endedAt === undefined);
+		return (job.end?.detail.startsWith('executorLost') ? running : undefined) ?? (isAnyNotStarted ? [] : (unfinished[0] ?? []));
 	}
 
 	const endOf = (attempts: readonly Attempt[]) => Math.max(...attempts.map(({endedAt}) => endedAt ?? 0));
 	return [...tasks].sort((left, right) => endOf(left) - endOf(right)).at(-1) ?? [];
 }
 
-function cpuOf(job: JobTrace): number {
+function cpuDemandOf(job: JobTrace): number {
 	const needs = job.tasks.flat().flatMap(({cpuMillis}) => cpuMillis ?? []);
 	return needs[0] ?? unknownCpuMillis;
 }
 
-function waitBetween(from: number, to: number, cpuMillis: number, room: FreeCapacity): readonly Part[] {
-	const whole = Math.max(0, to - from);
-	const beside = whole * room.shareWithRoom(from, to, cpuMillis);
-	return [{reason: 'waitedBesideIdleRoom', milliseconds: beside}, {reason: 'waitedForRoom', milliseconds: whole - beside}];
+function waitDelays(from: number, to: number, cpuMillis: number, freeCapacity: FreeCapacity): readonly Delay[] {
+	const total = Math.max(0, to - from);
+	const besideFreeCapacity = total * freeCapacity.fractionWithCapacity(from, to, cpuMillis);
+	return [{reason: 'waitedBesideIdleRoom', milliseconds: besideFreeCapacity}, {reason: 'waitedForRoom', milliseconds: total - besideFreeCapacity}];
 }
 
-function partsOfAttempt(job: JobTrace, attempt: Attempt, endedAt: number, {paces}: Surroundings): readonly Part[] {
+function attemptDelays(job: JobTrace, attempt: Attempt, endedAt: number, {speeds}: FleetState): readonly Delay[] {
 	const {sentAt, startedAt} = attempt;
 	if (startedAt === undefined) {
 		const reason = attempt.outcome === 'refused' ? 'refusedByOwner' : (job.end?.detail.startsWith('executorLost') ? 'ownerLost' : 'onTheWay');
 		return [{reason, milliseconds: endedAt - (sentAt ?? endedAt)}];
 	}
 
-	const way: Part = {reason: 'onTheWay', milliseconds: startedAt - (sentAt ?? startedAt)};
-	const ran = endedAt - startedAt;
+	const transit: Delay = {reason: 'onTheWay', milliseconds: startedAt - (sentAt ?? startedAt)};
+	const runMilliseconds = endedAt - startedAt;
 	if (attempt.outcome === 'done') {
-		const excess = Math.max(0, ran - job.expectedMilliseconds);
-		return [way, {reason: paces.isSlow(attempt.target) ? 'slowTarget' : 'longRun', milliseconds: excess}];
+		const excess = Math.max(0, runMilliseconds - job.expectedMilliseconds);
+		return [transit, {reason: speeds.isSlow(attempt.target) ? 'slowTarget' : 'longRun', milliseconds: excess}];
 	}
 
-	return [way, {reason: reasonOfEnd(job, attempt), milliseconds: ran}];
+	return [transit, {reason: reasonForEnd(job, attempt), milliseconds: runMilliseconds}];
 }
 
-function reasonOfEnd(job: JobTrace, {outcome, cause, stopCause}: Attempt): LossReason {
+function reasonForEnd(job: JobTrace, {outcome, cause, stopCause}: Attempt): LossReason {
 	if (outcome === 'refused') {
 		return 'refusedByOwner';
 	}
@@ -119,5 +119,5 @@
 		return job.end?.detail.startsWith('executorLost') ? 'ownerLost' : 'unexplained';
 	}
 
-	return causes.has(nobodyCause) ? 'ownerLost' : 'targetLost';
+	return causes.has(unadoptedCause) ? 'ownerLost' : 'targetLost';
 }
--- a/src/entries/command/losses/count-lost.ts
+++ b/src/entries/command/losses/count-lost.ts
@@ -1,7 +1,7 @@
-/** How many jobs of a slice were not answered in time. */
+/** Counts the lost jobs of a slice. */
 import type {SliceLosses} from './slice-losses.js';
 
-/** All but those in time. */
+/** The number of jobs that were not answered in time. */
 export function countLost({counts}: SliceLosses): number {
 	return counts.late + counts.refused + counts.givenUp + counts.unanswered;
 }
--- a/src/entries/command/losses/decode-line.ts
+++ b/src/entries/command/losses/decode-line.ts
@@ -1,11 +1,11 @@
-/** Reads one line of a log. */
+/** Parses one line of a log. */
 import {eventCatalogue} from '../../../runtime/journal/event-catalogue.js';
 import type {LogLine} from '../log-line.js';
 import type {UnreadableLines} from './unreadable-lines.js';
 
 /**
- * The event, or why there is none. A collector may put its own words before the object. By hand, not by schema: a day's logs
- * have a million lines.
+ * Returns the event, or the reason why the line is not one. Skips any prefix that a log collector put before the JSON object.
+ * Checks the fields without a schema, since logs can have millions of lines.
  */
 export function decodeLine(source: string, text: string): LogLine | keyof UnreadableLines {
 	const begin = text.indexOf('{');
@@ -35,7 +35,7 @@
 		const value: unknown = JSON.parse(text);
 		return typeof value === 'object' && value !== null ? value as Readonly<Record<string, unknown>> : undefined;
 	} catch {
-		// Counted by its kind.
+		// The caller reports the line as unreadable.
 		return undefined;
 	}
 }
--- a/src/entries/command/losses/free-capacity.ts
+++ b/src/entries/command/losses/free-capacity.ts
@@ -1,62 +1,62 @@
-/** How much room targets had, as logs show it. */
+/** History of the free capacity of targets, reconstructed from logs. */
 import type {LogLine} from '../log-line.js';
 
-/** Longer than any caller waits. */
-const keptMilliseconds = 30_000;
-/** Steps are dropped in bulk, since each drop copies the rest. */
-const dropAtOnce = 4096;
+/** Must be longer than any caller waits. */
+const retentionMilliseconds = 30_000;
+/** Number of samples at which old ones are pruned. Pruning is done in batches because it copies the rest. */
+const pruneThreshold = 4096;
 
-type Target = {room: number; isOpen: boolean};
-type Step = {readonly at: number; readonly largest: number};
-type Use = {readonly target: string; readonly cpuMillis: number; readonly at: number};
+type Target = {freeCpuMillis: number; isOpen: boolean};
+type Sample = {readonly at: number; readonly maxFreeCpuMillis: number};
+type Reservation = {readonly target: string; readonly cpuMillis: number; readonly at: number};
 
 const closing = new Set(['targetSilent', 'targetEjected']);
 const opening = new Set(['targetAnswers', 'targetBack']);
 const removing = new Set(['sessionEnded', 'targetDropped', 'targetReleased']);
 
 /**
- * Follows the room of each target from the lines of its owners: a start tells the room before it. A target of which no start
- * was seen has unknown room, and counts as full. What an owner held closed counts as full as well.
+ * Tracks the free capacity of each target from the log lines of its owners: `runStarted` lines contain the capacity before the
+ * start. Targets without such a line, or that their owner has closed for new tasks, count as full.
  */
 export class FreeCapacity {
 	readonly #targets = new Map<string, Target>();
-	readonly #uses = new Map<string, Use>();
-	#steps: Step[] = [];
-
-	take(line: LogLine): void {
-		if (this.#change(line)) {
-			const largest = Math.max(0, ...[...this.#targets.values()].filter(({isOpen}) => isOpen).map(({room}) => room));
-			this.#steps.push({at: line.at, largest});
-			this.#forget(line.at);
+	readonly #reservations = new Map<string, Reservation>();
+	#samples: Sample[] = [];
+
+	add(line: LogLine): void {
+		if (this.#update(line)) {
+			const maxFreeCpuMillis = Math.max(0, ...[...this.#targets.values()].filter(({isOpen}) => isOpen).map(({freeCpuMillis}) => freeCpuMillis));
+			this.#samples.push({at: line.at, maxFreeCpuMillis});
+			this.#prune(line.at);
 		}
 	}
 
-	/** The part of a span in which some target had room for so much, 0 to 1. */
-	shareWithRoom(from: number, to: number, cpuMillis: number): number {
+	/** The fraction of a time span, from 0 to 1, in which some target had at least the given free capacity. */
+	fractionWithCapacity(from: number, to: number, cpuMillis: number): number {
 		if (to <= from) {
 			return 0;
 		}
 
-		let withRoom = 0;
-		for (const [index, {at, largest}] of this.#steps.entries()) {
-			const until = this.#steps[index + 1]?.at ?? to;
-			if (largest >= cpuMillis) {
-				withRoom += Math.max(0, Math.min(until, to) - Math.max(at, from));
+		let milliseconds = 0;
+		for (const [index, {at, maxFreeCpuMillis}] of this.#samples.entries()) {
+			const until = this.#samples[index + 1]?.at ?? to;
+			if (maxFreeCpuMillis >= cpuMillis) {
+				milliseconds += Math.max(0, Math.min(until, to) - Math.max(at, from));
 			}
 		}
 
-		return withRoom / (to - from);
+		return milliseconds / (to - from);
 	}
 
-	/** Whether the line changed anything. */
-	#change({event, at, fields}: LogLine): boolean {
+	/** Updates the targets and returns whether anything changed. */
+	#update({event, at, fields}: LogLine): boolean {
 		const id = String(fields.target);
 		if (event === 'runStarted') {
-			return this.#start(id, at, fields);
+			return this.#startRun(id, at, fields);
 		}
 
 		if (event === 'runEnded') {
-			return this.#end(`${String(fields.task)}#${String(fields.attempt)}`);
+			return this.#endRun(`${String(fields.task)}#${String(fields.attempt)}`);
 		}
 
 		if (removing.has(event)) {
@@ -72,38 +72,38 @@
 		return true;
 	}
 
-	#start(id: string, at: number, fields: LogLine['fields']): boolean {
+	#startRun(id: string, at: number, fields: LogLine['fields']): boolean {
 		const {roomCpuMillis, cpuMillis} = fields;
 		if (typeof roomCpuMillis !== 'number' || typeof cpuMillis !== 'number') {
 			return false;
 		}
 
-		this.#targets.set(id, {room: roomCpuMillis - cpuMillis, isOpen: true});
-		this.#uses.set(`${String(fields.task)}#${String(fields.attempt)}`, {target: id, cpuMillis, at});
+		this.#targets.set(id, {freeCpuMillis: roomCpuMillis - cpuMillis, isOpen: true});
+		this.#reservations.set(`${String(fields.task)}#${String(fields.attempt)}`, {target: id, cpuMillis, at});
 		return true;
 	}
 
-	#end(run: string): boolean {
-		const use = this.#uses.get(run);
-		this.#uses.delete(run);
-		const target = this.#targets.get(use?.target ?? '');
-		if (use === undefined || target === undefined) {
+	#endRun(run: string): boolean {
+		const reservation = this.#reservations.get(run);
+		this.#reservations.delete(run);
+		const target = this.#targets.get(reservation?.target ?? '');
+		if (reservation === undefined || target === undefined) {
 			return false;
 		}
 
-		target.room += use.cpuMillis;
+		target.freeCpuMillis += reservation.cpuMillis;
 		return true;
 	}
 
-	#forget(now: number): void {
-		if (this.#steps.length < dropAtOnce) {
+	#prune(now: number): void {
+		if (this.#samples.length < pruneThreshold) {
 			return;
 		}
 
-		this.#steps = this.#steps.filter(({at}) => now - at < keptMilliseconds);
-		for (const [run, {at}] of this.#uses) {
-			if (now - at > keptMilliseconds) {
-				this.#uses.delete(run);
+		this.#samples = this.#samples.filter(({at}) => now - at < retentionMilliseconds);
+		for (const [run, {at}] of this.#reservations) {
+			if (now - at > retentionMilliseconds) {
+				this.#reservations.delete(run);
 			}
 		}
 	}
--- a/src/entries/command/losses/job-outcome.ts
+++ b/src/entries/command/losses/job-outcome.ts
@@ -1,9 +1,9 @@
-/** How a job ended for its caller. */
+/** Outcome of a job for its caller. */
 
 /**
- * - `inTime`, `late`: answered, within its objective or after it.
- * - `refused`: told that it had not run.
- * - `givenUp`: told that it may have run.
- * - `unanswered`: no line tells of an answer.
+ * - `inTime`, `late`: answered within the objective, or after it.
+ * - `refused`: answered that it did not run.
+ * - `givenUp`: answered that it may have run.
+ * - `unanswered`: no answer was logged.
  */
 export type JobOutcome = 'inTime' | 'late' | 'refused' | 'givenUp' | 'unanswered';
--- a/src/entries/command/losses/job-trace.ts
+++ b/src/entries/command/losses/job-trace.ts
@@ -1,21 +1,21 @@
-/** What logs tell of one job. */
+/** State of one job, reconstructed from logs. */
 import type {LogLine} from '../log-line.js';
 import type {Attempt} from './attempt.js';
 
-/** How a job ended for its caller. */
+/** The final log line of a job. */
 type JobEnd = {readonly at: number; readonly verdict: string; readonly detail: string};
 
-/** Collects the lines of one job, over all lives in which it was submitted. */
+/** Collects the log lines of one job over all of its submissions. */
 export class JobTrace {
 	readonly queue: string;
 	readonly firstAcceptedAt: number;
-	/** When it was accepted in the life that counts. */
+	/** When the latest submission was accepted. */
 	acceptedAt: number;
 	readonly taskCount: number;
-	/** Absent in logs of versions that did not tell it. */
+	/** Undefined in logs of older versions. */
 	readonly objectiveMilliseconds: number | undefined;
 	readonly expectedMilliseconds: number;
-	readonly patienceMilliseconds: number;
+	readonly callerTimeoutMilliseconds: number;
 	end: JobEnd | undefined;
 	readonly #tasks = new Map<string, Map<number, Attempt>>();
 
@@ -27,23 +27,23 @@
 		this.taskCount = Number(fields.tasks);
 		this.objectiveMilliseconds = typeof fields.objectiveMilliseconds === 'number' ? fields.objectiveMilliseconds : undefined;
 		this.expectedMilliseconds = Number(fields.expectedMilliseconds);
-		this.patienceMilliseconds = Number(fields.patienceMilliseconds);
+		this.callerTimeoutMilliseconds = Number(fields.patienceMilliseconds);
 	}
 
-	/** Attempts of each task that was begun, in their order. */
+	/** The attempts of each started task, by number. */
 	get tasks(): ReadonlyArray<readonly Attempt[]> {
 		return [...this.#tasks.values()].map(attempts => [...attempts.values()].sort((left, right) => left.number - right.number));
 	}
 
-	/** The job was submitted again: what was begun before counts no more. */
-	acceptAgain(at: number): void {
+	/** Starts over with a new submission, and discards the attempts of the previous one. */
+	resubmit(at: number): void {
 		this.acceptedAt = at;
 		this.end = undefined;
 		this.#tasks.clear();
 	}
 
-	/** Takes a line that names one of its tasks. */
-	take({event, at, fields}: LogLine): void {
+	/** Adds a line that names one of the job's tasks. */
+	addTaskLine({event, at, fields}: LogLine): void {
 		const attempt = this.#attemptOf(String(fields.task), Number(fields.attempt));
 		switch (event) {
 			case 'taskSent': {
--- a/src/entries/command/losses/loss-analysis.ts
+++ b/src/entries/command/losses/loss-analysis.ts
@@ -1,4 +1,4 @@
-/** The account of a log: jobs by queue and slice, and why those that were not in time were not. */
+/** Aggregates logs to job counts by queue and time slice, with the reasons for jobs that were not answered in time. */
 import {jobOfTask} from '../../../base/job-of-task.js';
 import type {LogLine} from '../log-line.js';
 import {attributeLoss} from './attribute-loss.js';
@@ -9,31 +9,31 @@
 import type {SliceLosses} from './slice-losses.js';
 import {TargetSpeeds} from './target-speeds.js';
 
-/** After its end a job is kept for so long: its caller may submit it again, and lines of other entries may come later. */
-const settlingMilliseconds = 3000;
-/** A job whose caller has stopped waiting for so long gets no answer any more. */
-const silenceMilliseconds = 2000;
-/** How often jobs are looked through for those that are settled. */
-const lookMilliseconds = 500;
+/** How long a job is kept after its end, for resubmissions and for late lines of other entries. */
+const retentionMilliseconds = 3000;
+/** How long a job without an end is kept after its caller's timeout. */
+const answerGraceMilliseconds = 2000;
+/** Interval between checks for jobs that can be counted. */
+const checkIntervalMilliseconds = 500;
 
-/** Takes lines in the order of time; keeps no more than the jobs in flight and the sums. */
+/** Processes log lines in order of time. Memory use is bounded by the jobs in flight and the totals. */
 export class LossAnalysis {
 	readonly #jobs = new Map<string, JobTrace>();
 	readonly #slices = new Map<string, SliceLosses>();
-	readonly #room = new FreeCapacity();
-	readonly #paces = new TargetSpeeds();
-	#beginning: number | undefined;
-	#lookedAt = 0;
+	readonly #freeCapacity = new FreeCapacity();
+	readonly #speeds = new TargetSpeeds();
+	#firstAcceptedAt: number | undefined;
+	#checkedAt = 0;
 
 	constructor(private readonly sliceMilliseconds: number) {}
 
-	/** Jobs whose end isn't settled. */
-	get inFlight(): number {
+	/** The number of jobs that have not been counted yet. */
+	get jobsInFlight(): number {
 		return this.#jobs.size;
 	}
 
-	take(line: LogLine): void {
-		this.#room.take(line);
+	add(line: LogLine): void {
+		this.#freeCapacity.add(line);
 		switch (line.event) {
 			case 'jobAccepted': {
 				this.#accept(line);
@@ -50,7 +50,7 @@
 			case 'runRefused':
 			case 'runStopped':
 			case 'runEnded': {
-				this.#takeTask(line);
+				this.#addTaskLine(line);
 				break;
 			}
 
@@ -59,26 +59,26 @@
 			}
 		}
 
-		if (line.at - this.#lookedAt > lookMilliseconds) {
-			this.#lookedAt = line.at;
-			this.#settle(line.at);
+		if (line.at - this.#checkedAt > checkIntervalMilliseconds) {
+			this.#checkedAt = line.at;
+			this.#countFinished(line.at);
 		}
 	}
 
-	/** Counts all jobs that are left, and returns the slices, those that lose most first. */
-	close(): readonly SliceLosses[] {
-		this.#settle(Number.POSITIVE_INFINITY);
+	/** Counts all remaining jobs, and returns the slices by descending number of lost jobs. */
+	finish(): readonly SliceLosses[] {
+		this.#countFinished(Number.POSITIVE_INFINITY);
 		return [...this.#slices.values()].sort((left, right) => countLost(right) - countLost(left) || left.fromMilliseconds - right.fromMilliseconds);
 	}
 
 	#accept(line: LogLine): void {
-		this.#beginning ??= line.at;
+		this.#firstAcceptedAt ??= line.at;
 		const id = String(line.fields.job);
 		const known = this.#jobs.get(id);
 		if (known === undefined) {
 			this.#jobs.set(id, new JobTrace(id, line));
 		} else {
-			known.acceptAgain(line.at);
+			known.resubmit(line.at);
 		}
 	}
 
@@ -89,19 +89,19 @@
 		}
 	}
 
-	#takeTask(line: LogLine): void {
+	#addTaskLine(line: LogLine): void {
 		const {task, outcome, target, ranMilliseconds} = line.fields;
 		const job = this.#jobs.get(jobOfTask(String(task)));
-		job?.take(line);
+		job?.addTaskLine(line);
 		if (job !== undefined && outcome === 'done') {
-			this.#paces.record(String(target), Number(ranMilliseconds), job.expectedMilliseconds);
+			this.#speeds.record(String(target), Number(ranMilliseconds), job.expectedMilliseconds);
 		}
 	}
 
-	#settle(now: number): void {
+	#countFinished(now: number): void {
 		for (const [id, job] of this.#jobs) {
-			const settledAt = job.end === undefined ? job.acceptedAt + job.patienceMilliseconds + silenceMilliseconds : job.end.at + settlingMilliseconds;
-			if (now > settledAt) {
+			const finishedAt = job.end === undefined ? job.acceptedAt + job.callerTimeoutMilliseconds + answerGraceMilliseconds : job.end.at + retentionMilliseconds;
+			if (now > finishedAt) {
 				this.#jobs.delete(id);
 				this.#count(job);
 			}
@@ -110,20 +110,20 @@
 
 	#count(job: JobTrace): void {
 		const slice = this.#sliceOf(job);
-		const fate = outcomeOf(job);
-		slice.counts[fate] += 1;
-		if (fate === 'inTime') {
+		const outcome = outcomeOf(job);
+		slice.counts[outcome] += 1;
+		if (outcome === 'inTime') {
 			return;
 		}
 
-		for (const [reason, share] of attributeLoss(job, {room: this.#room, paces: this.#paces})) {
+		for (const [reason, share] of attributeLoss(job, {freeCapacity: this.#freeCapacity, speeds: this.#speeds})) {
 			slice.reasons.set(reason, (slice.reasons.get(reason) ?? 0) + share);
 		}
 	}
 
 	#sliceOf({queue, firstAcceptedAt}: JobTrace): SliceLosses {
-		const since = firstAcceptedAt - (this.#beginning ?? firstAcceptedAt);
-		const fromMilliseconds = Math.floor(since / this.sliceMilliseconds) * this.sliceMilliseconds;
+		const offset = firstAcceptedAt - (this.#firstAcceptedAt ?? firstAcceptedAt);
+		const fromMilliseconds = Math.floor(offset / this.sliceMilliseconds) * this.sliceMilliseconds;
 		const key = `${fromMilliseconds} ${queue}`;
 		const slice = this.#slices.get(key) ?? {
 			fromMilliseconds,
--- a/src/entries/command/losses/loss-reason.ts
+++ b/src/entries/command/losses/loss-reason.ts
@@ -1,5 +1,5 @@
-/** The type of the reasons. */
+/** Type of the loss reasons. */
 import type {lossReasons} from './loss-reasons.js';
 
-/** One of those that reports list. */
+/** A reason why a job was not answered in time. */
 export type LossReason = typeof lossReasons[number];
--- a/src/entries/command/losses/loss-reasons.ts
+++ b/src/entries/command/losses/loss-reasons.ts
@@ -1,29 +1,29 @@
-/** What can keep a job from its answer in time. */
+/** Reasons why jobs are not answered in time. */
 
-/** In the order in which reports list them. */
+/** All reasons, in the order in which reports list them. */
 export const lossReasons = [
-	/** Its task waited although some target that fits had room. */
+	/** Its task waited although a suitable target had free capacity. */
 	'waitedBesideIdleRoom',
-	/** Its task waited, and no target that fits had room. */
+	/** Its task waited while no suitable target had free capacity. */
 	'waitedForRoom',
-	/** Its task was on the way to the owner of a target. */
+	/** Its task was in transit to the owner of a target, or its answer was in transit. */
 	'onTheWay',
-	/** An owner refused its task, which was sent again. */
+	/** An owner refused its task, which was sent elsewhere. */
 	'refusedByOwner',
-	/** A target did not answer the order to start its task. */
+	/** A target did not answer the request to start its task. */
 	'orderUnanswered',
-	/** Its task ran on a target that is slow with others as well, or was taken from it for that. */
+	/** Its task ran on a target that is also slow with other tasks, or was stopped as overdue. */
 	'slowTarget',
-	/** Its task just took longer than expected. */
+	/** Its task took longer than expected, on a target of normal speed. */
 	'longRun',
 	/** A run of its task failed. */
 	'runFailed',
-	/** The target of its task was lost, or dropped it. */
+	/** The target was lost, or lost the task. */
 	'targetLost',
-	/** The entry that ran its task was lost. */
+	/** The entry that owned the target of its task was lost. */
 	'ownerLost',
-	/** It was lost with its entry, or its answer was, and it was submitted again. */
+	/** Its caller resubmitted it after its entry or its answer was lost. */
 	'resubmitted',
-	/** The log does not tell. */
+	/** The log does not contain the cause. */
 	'unexplained',
 ] as const;
--- a/src/entries/command/losses/merge-logs.ts
+++ b/src/entries/command/losses/merge-logs.ts
@@ -1,23 +1,23 @@
-/** Reads several logs as one, in the order of time. */
+/** Merges several logs into one, ordered by time. */
 import type {Readable} from 'node:stream';
 import {createInterface} from 'node:readline';
 import type {LogLine} from '../log-line.js';
 import {decodeLine} from './decode-line.js';
 import type {UnreadableLines} from './unreadable-lines.js';
 
-/** Entries write their lines ten times a second: in a log of several entries a line is out of order by no more than this. */
-const disorderMilliseconds = 1000;
-/** Lines are sorted in bulk. */
-const sortedAtOnce = 2000;
+/** The most by which a line can be out of order in a file that combines several logs. */
+const maxDisorderMilliseconds = 1000;
+/** Number of buffered lines at which a log is sorted. */
+const sortThreshold = 2000;
 
 type Source = {readonly name: string; readonly input: Readable};
 type Cursor = {readonly lines: AsyncIterator<LogLine>; next: LogLine | undefined};
 
-/** Unreadable lines are counted by kind. Each log is held back by a second of its lines. */
+/** Yields the events of all logs, and counts unreadable lines by kind. Buffers the last second of each log to restore its order. */
 export async function * mergeLogs(sources: readonly Source[], unreadable: UnreadableLines): AsyncGenerator<LogLine> {
-	const cursors = await Promise.all(sources.map(async source => cursorOf(sorted(source, unreadable))));
+	const cursors = await Promise.all(sources.map(async source => openCursor(sortLines(source, unreadable))));
 	for (;;) {
-		const first = earliestOf(cursors);
+		const first = findEarliest(cursors);
 		if (first?.next === undefined) {
 			return;
 		}
@@ -27,7 +27,7 @@
 	}
 }
 
-async function cursorOf(lines: AsyncIterator<LogLine>): Promise<Cursor> {
+async function openCursor(lines: AsyncIterator<LogLine>): Promise<Cursor> {
 	const cursor: Cursor = {lines, next: undefined};
 	await advance(cursor);
 	return cursor;
@@ -38,7 +38,7 @@
 	cursor.next = result.done === true ? undefined : result.value;
 }
 
-function earliestOf(cursors: readonly Cursor[]): Cursor | undefined {
+function findEarliest(cursors: readonly Cursor[]): Cursor | undefined {
 	let earliest: Cursor | undefined;
 	for (const cursor of cursors) {
 		if (cursor.next !== undefined && (earliest?.next === undefined || cursor.next.at < earliest.next.at)) {
@@ -49,8 +49,8 @@
 	return earliest;
 }
 
-async function * sorted({name, input}: Source, unreadable: UnreadableLines): AsyncGenerator<LogLine> {
-	let held: LogLine[] = [];
+async function * sortLines({name, input}: Source, unreadable: UnreadableLines): AsyncGenerator<LogLine> {
+	let buffer: LogLine[] = [];
 	for await (const text of createInterface({input})) {
 		const line = decodeLine(name, text);
 		if (typeof line === 'string') {
@@ -58,15 +58,15 @@
 			continue;
 		}
 
-		held.push(line);
-		if (held.length >= sortedAtOnce) {
-			held.sort((left, right) => left.at - right.at);
-			const settled = held.at(-1)!.at - disorderMilliseconds;
-			const count = held.findIndex(({at}) => at > settled);
-			yield * held.slice(0, count);
-			held = held.slice(count);
+		buffer.push(line);
+		if (buffer.length >= sortThreshold) {
+			buffer.sort((left, right) => left.at - right.at);
+			const orderedUntil = buffer.at(-1)!.at - maxDisorderMilliseconds;
+			const count = buffer.findIndex(({at}) => at > orderedUntil);
+			yield * buffer.slice(0, count);
+			buffer = buffer.slice(count);
 		}
 	}
 
-	yield * held.sort((left, right) => left.at - right.at);
+	yield * buffer.sort((left, right) => left.at - right.at);
 }
--- a/src/entries/command/losses/outcome-of.ts
+++ b/src/entries/command/losses/outcome-of.ts
@@ -1,8 +1,8 @@
-/** What a job's caller got. */
+/** Determines the outcome of a job for its caller. */
 import type {JobOutcome} from './job-outcome.js';
 import type {JobTrace} from './job-trace.js';
 
-/** Counted from its first submission. Where the log has no objective, answers count as in time. */
+/** Measures the time from the first submission. Without a logged objective, every answer counts as in time. */
 export function outcomeOf(job: JobTrace): JobOutcome {
 	if (job.end === undefined) {
 		return 'unanswered';
@@ -16,6 +16,6 @@
 		return 'givenUp';
 	}
 
-	const took = job.end.at - job.firstAcceptedAt;
-	return took <= (job.objectiveMilliseconds ?? Number.POSITIVE_INFINITY) ? 'inTime' : 'late';
+	const elapsed = job.end.at - job.firstAcceptedAt;
+	return elapsed <= (job.objectiveMilliseconds ?? Number.POSITIVE_INFINITY) ? 'inTime' : 'late';
 }
--- a/src/entries/command/losses/plot-losses.ts
+++ b/src/entries/command/losses/plot-losses.ts
@@ -1,4 +1,4 @@
-/** A picture of losses. */
+/** Draws a chart of losses. */
 import {writeFile} from 'node:fs/promises';
 import {parse, View} from 'vega';
 import {compile, type TopLevelSpec} from 'vega-lite';
@@ -8,7 +8,7 @@
 const width = 760;
 const height = 320;
 
-/** Writes lost jobs by slice and reason, one above the other, as SVG. */
+/** Writes a stacked bar chart of lost jobs by slice and reason as an SVG file. */
 export async function plotLosses(slices: readonly SliceLosses[], sliceSeconds: number, file: string): Promise<void> {
 	const values = slices.flatMap(({fromMilliseconds, reasons}) => [...reasons].map(([reason, lost]) => ({from: fromMilliseconds / 1000, reason, lost})));
 	const specification: TopLevelSpec = {
--- a/src/entries/command/losses/target-speeds.ts
+++ b/src/entries/command/losses/target-speeds.ts
@@ -1,19 +1,19 @@
-/** How fast targets work, as logs show it. */
+/** Speed of targets, estimated from logs. */
 
-const smoothing = 0.2;
-/** A target whose runs take so many times what is expected works slowly; the spread of run times alone stays below. */
-const slowPace = 1.5;
+const smoothingFactor = 0.2;
+/** Targets whose run times exceed the expected ones by this factor on average are slow. */
+const slowThreshold = 1.5;
 
-/** A moving mean for each target of what its runs took against what was expected of them. */
+/** Keeps an exponential moving average of actual to expected run time for each target. */
 export class TargetSpeeds {
-	readonly #paces = new Map<string, number>();
+	readonly #ratios = new Map<string, number>();
 
 	record(target: string, ranMilliseconds: number, expectedMilliseconds: number): void {
-		const known = this.#paces.get(target) ?? 1;
-		this.#paces.set(target, known + (smoothing * ((ranMilliseconds / Math.max(1, expectedMilliseconds)) - known)));
+		const ratio = this.#ratios.get(target) ?? 1;
+		this.#ratios.set(target, ratio + (smoothingFactor * ((ranMilliseconds / Math.max(1, expectedMilliseconds)) - ratio)));
 	}
 
 	isSlow(target: string | undefined): boolean {
-		return target !== undefined && (this.#paces.get(target) ?? 1) > slowPace;
+		return target !== undefined && (this.#ratios.get(target) ?? 1) > slowThreshold;
 	}
 }
--- a/src/entries/command/main.ts
+++ b/src/entries/command/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' and callers' command, `savorylock`. */
+/** The command-line client for operators and callers, `savorylock`. */
 import {createReadStream} from 'node:fs';
 import process from 'node:process';
 import yargs from 'yargs';
@@ -20,16 +20,16 @@
 import {readProfile} from './read-profile.js';
 import {submitJobs} from './submit-jobs.js';
 
-type Shared = {readonly log?: string; readonly instances?: string; readonly json: boolean};
+type SharedOptions = {readonly log?: string; readonly instances?: string; readonly json: boolean};
 
 const changeOptions = {
-	base: {type: 'number', describe: 'revision that the change is based on; the one in force where absent'},
-	'dry-run': {type: 'boolean', default: false, describe: 'show the difference to what is in force and change nothing'},
+	base: {type: 'number', describe: 'revision that the change is based on; default: the one in force'},
+	'dry-run': {type: 'boolean', default: false, describe: 'show the differences from the profile in force without changing it'},
 } as const;
 
 await yargs(hideBin(process.argv))
 	.scriptName('savorylock')
-	.usage('$0 COMMAND\n\nPublishes profiles, submits jobs, and asks entries for their state.')
+	.usage('$0 COMMAND\n\nManages profiles, submits jobs, and shows the status of entries.')
 	.env('SAVORYLOCK')
 	.option('log', {type: 'string', describe: 'URL of the platform\'s log (SAVORYLOCK_LOG)'})
 	.option('instances', {type: 'string', describe: 'URL of the platform\'s instance list (SAVORYLOCK_INSTANCES)'})
@@ -37,54 +37,55 @@
 	.command('publish <file>', 'publish a profile from its TOML file', command => command
 		.positional('file', {type: 'string', demandOption: true})
 		.option('dry-run', changeOptions['dry-run']), async options => {
-		await change(options, options.file, options.dryRun, async (commands, profile) => commands.publish(profile));
+		await applyChange(options, options.file, options.dryRun, async (commands, profile) => commands.publish(profile));
 	})
 	.command('revise <file>', 'replace a profile that is in force', command => command
 		.positional('file', {type: 'string', demandOption: true})
 		.options(changeOptions), async options => {
-		await change(options, options.file, options.dryRun, async (commands, profile) => commands.revise(profile, options.base));
+		await applyChange(options, options.file, options.dryRun, async (commands, profile) => commands.revise(profile, options.base));
 	})
-	.command('retire <name>', 'take a profile out of force; its running jobs end normally', command => command
+	.command('retire <name>', 'retire a profile; its running jobs end normally', command => command
 		.positional('name', {type: 'string', demandOption: true})
 		.option('base', changeOptions.base), async options => {
-		finish(await commandsOf(options).retire(options.name as ProfileName, options.base), options.json);
+		printResult(await createCommands(options).retire(options.name as ProfileName, options.base), options.json);
 	})
-	.command('settle <change>', 'find out what became of a change whose command ended with "unknown"', command => command.positional('change', {type: 'string', demandOption: true}), async options => {
-		finish(await commandsOf(options).settle(options.change), options.json);
+	.command('settle <change>', 'determine the outcome of a change whose command ended with "unknown"', command => command
+		.positional('change', {type: 'string', demandOption: true}), async options => {
+		printResult(await createCommands(options).settle(options.change), options.json);
 	})
 	.command('list', 'list the profiles', command => command, async options => {
-		for (const {profile, revision, state} of await commandsOf(options).list()) {
+		for (const {profile, revision, state} of await createCommands(options).list()) {
 			print(options.json ? JSON.stringify({name: profile.name, revision, state}) : `${profile.name}  revision ${revision}  ${state}`);
 		}
 	})
 	.command('show <name>', 'show a profile', command => command.positional('name', {type: 'string', demandOption: true}), async options => {
-		const profiles = await commandsOf(options).list();
+		const profiles = await createCommands(options).list();
 		const found = profiles.find(({profile}) => profile.name === options.name);
 		if (found === undefined) {
-			fail(`no profile is named ${options.name}`, exitCode.failed);
+			fail(`profile ${options.name} does not exist`, exitCode.failed);
 		}
 
 		print(JSON.stringify(found, undefined, options.json ? 0 : 2));
 	})
-	.command('history <name>', 'list the changes of a profile, and what became of them', command => command.positional('name', {type: 'string', demandOption: true}), async options => {
-		for (const entry of await commandsOf(options).history(options.name)) {
+	.command('history <name>', 'list the changes of a profile with their outcomes', command => command.positional('name', {type: 'string', demandOption: true}), async options => {
+		for (const entry of await createCommands(options).history(options.name)) {
 			print(options.json ? JSON.stringify(entry) : describeHistory(entry));
 		}
 	})
-	.command('diff <name> <left> <right>', 'show what differs between two revisions of a profile', command => command
+	.command('diff <name> <left> <right>', 'show the differences between two revisions of a profile', command => command
 		.positional('name', {type: 'string', demandOption: true})
 		.positional('left', {type: 'number', demandOption: true})
 		.positional('right', {type: 'number', demandOption: true}), async options => {
-		const lines = await commandsOf(options).differenceBetween(options.name, options.left, options.right);
+		const lines = await createCommands(options).compareRevisions(options.name, options.left, options.right);
 		print(lines.length === 0 ? 'no difference' : lines.join('\n'));
 	})
-	.command('submit [file]', 'submit jobs, one JSON object a line, from a file or standard input', command => command
-		.positional('file', {type: 'string', describe: 'file of JSON lines, - or nothing for standard input'})
-		.option('entry', {type: 'string', demandOption: true, describe: 'URL of an entry or of the balancer'}), async options => {
+	.command('submit [file]', 'submit jobs from a file or standard input, one JSON object per line', command => command
+		.positional('file', {type: 'string', describe: 'file of JSON lines; - or no file for standard input'})
+		.option('entry', {type: 'string', demandOption: true, describe: 'URL of an entry or the load balancer'}), async options => {
 		const input = options.file === undefined || options.file === '-' ? process.stdin : createReadStream(options.file);
 		process.exitCode = await submitJobs(options.entry, input, print);
 	})
-	.command('status', 'show an entry\'s state', command => command.option('entry', {type: 'string', demandOption: true, describe: 'URL of an entry'}), async options => {
+	.command('status', 'show the status of an entry', command => command.option('entry', {type: 'string', demandOption: true, describe: 'URL of an entry'}), async options => {
 		const status = await new FleetClient('').status(options.entry.replace(/^https?:\/\//v, ''));
 		if (status === undefined) {
 			fail(`${options.entry} doesn't answer`, exitCode.failed);
@@ -92,40 +93,40 @@
 
 		print(JSON.stringify(status, undefined, options.json ? 0 : 2));
 	})
-	.command('explain <id> [files..]', 'tell the story of a job, task, target or entry from logs of edge daemons', command => command
+	.command('explain <id> [files..]', 'show the timeline of a job, task, target or entry from the logs of edge daemons', command => command
 		.positional('id', {type: 'string', demandOption: true})
 		.positional('files', {
-			type: 'string', array: true, default: [], describe: 'log files; standard input where none is named',
+			type: 'string', array: true, default: [], describe: 'log files; default: standard input',
 		}), async options => {
 		const read = options.files.length === 0
 			? [readLogLines('-', process.stdin)]
 			: options.files.map(async file => readLogLines(file, createReadStream(file)));
 		const lines = await Promise.all(read);
-		const story = buildTimeline(lines.flat(), options.id);
-		if (story.length === 0) {
-			fail(`no line names ${options.id}`, exitCode.failed);
+		const timeline = buildTimeline(lines.flat(), options.id);
+		if (timeline.length === 0) {
+			fail(`no log line mentions ${options.id}`, exitCode.failed);
 		}
 
-		print(story.join('\n'));
+		print(timeline.join('\n'));
 	})
-	.command('losses [files..]', 'say which jobs were not answered in time, and which part of their way took the time, from logs of edge daemons', command => command
+	.command('losses [files..]', 'report the jobs that were not answered in time, and the causes of their delays, from the logs of edge daemons', command => command
 		.positional('files', {
-			type: 'string', array: true, default: [], describe: 'log files; standard input where none is named',
+			type: 'string', array: true, default: [], describe: 'log files; default: standard input',
 		})
-		.option('slice', {type: 'number', default: 2, describe: 'length of a slice of time in seconds'})
-		.option('most', {type: 'number', default: 20, describe: 'how many slices are listed, those that lose most first'})
-		.option('plot', {type: 'string', describe: 'an SVG file for a picture of lost jobs by reason'})
+		.option('slice', {type: 'number', default: 2, describe: 'length of a time slice in seconds'})
+		.option('most', {type: 'number', default: 20, describe: 'number of slices to list, those with the most lost jobs first'})
+		.option('plot', {type: 'string', describe: 'SVG file to which a chart of lost jobs by reason is written'})
 		.check(({slice, most}) => slice > 0 && most >= 0 ? true : '--slice must be above 0, --most at least 0'), async options => {
 		const lines = await reportLosses({
 			files: options.files, sliceSeconds: options.slice, most: options.most, isJson: options.json, plot: options.plot,
 		});
 		if (lines.length === 0) {
-			fail('no line tells of a job', exitCode.failed);
+			fail('the logs contain no job', exitCode.failed);
 		}
 
 		print(lines.join('\n'));
 	})
-	.demandCommand(1, 'name a command')
+	.demandCommand(1, 'a command is required')
 	.epilogue('Exit codes: 0 done, 1 failed, 2 usage, 3 rejected, 4 accepted but not yet everywhere, 5 unknown; submit: 10 a job failed, 11 not run, 12 may have run.')
 	.version(version)
 	.strict()
@@ -134,19 +135,19 @@
 	})
 	.parseAsync();
 
-async function change(options: Shared, file: string, isDry: boolean, run: (commands: OperatorCommands, profile: ReturnType<typeof readProfile>) => Promise<ChangeResult>): Promise<void> {
-	const profile = profileOf(file);
-	const commands = commandsOf(options);
+async function applyChange(options: SharedOptions, file: string, isDry: boolean, run: (commands: OperatorCommands, profile: ReturnType<typeof readProfile>) => Promise<ChangeResult>): Promise<void> {
+	const profile = loadProfile(file);
+	const commands = createCommands(options);
 	if (!isDry) {
-		finish(await run(commands, profile), options.json);
+		printResult(await run(commands, profile), options.json);
 		return;
 	}
 
-	const lines = await commands.difference(profile);
+	const lines = await commands.compareWithCurrent(profile);
 	print(lines.length === 0 ? 'no difference' : lines.join('\n'));
 }
 
-function profileOf(file: string): ReturnType<typeof readProfile> {
+function loadProfile(file: string): ReturnType<typeof readProfile> {
 	try {
 		return readProfile(file);
 	} catch (error) {
@@ -154,9 +155,9 @@
 	}
 }
 
-function commandsOf({log, instances}: Shared): OperatorCommands {
+function createCommands({log, instances}: SharedOptions): OperatorCommands {
 	if (log === undefined || instances === undefined) {
-		return fail('--log and --instances are needed', exitCode.usage);
+		return fail('--log and --instances are required', exitCode.usage);
 	}
 
 	return new OperatorCommands({
@@ -171,7 +172,7 @@
 	});
 }
 
-function finish(result: ChangeResult, isJson: boolean): void {
+function printResult(result: ChangeResult, isJson: boolean): void {
 	const {line, code} = describeResult(result);
 	print(isJson ? JSON.stringify(result) : line);
 	process.exitCode = code;
--- a/src/entries/command/operator-commands.ts
+++ b/src/entries/command/operator-commands.ts
@@ -1,4 +1,4 @@
-/** The operators' commands on profiles. */
+/** Commands with which operators manage profiles. */
 import {randomUUID} from 'node:crypto';
 import {userInfo} from 'node:os';
 import type {ProfileName} from '../../base/profile-name.js';
@@ -18,7 +18,7 @@
 
 type Change = Exclude<ConfigurationRecord, {kind: 'snapshot'}>;
 
-/** Each method is one command; printing and exit codes are the main module's. */
+/** One method for each command. The main module prints the results and sets the exit code. */
 export class OperatorCommands {
 	constructor(private readonly context: OperatorContext) {}
 
@@ -26,9 +26,9 @@
 		return appendChange(this.context, {kind: 'publish', ...this.#changeFields(), profile});
 	}
 
-	/** Based on the revision that the operator saw, or on the one that's in force now. */
+	/** Replaces a profile, based on the given revision or, by default, on the current one. */
 	async revise(profile: Profile, base: number | undefined): Promise<ChangeResult> {
-		const found = await this.#baseOf(profile.name, base);
+		const found = await this.#resolveBase(profile.name, base);
 		return found.kind === 'base'
 			? appendChange(this.context, {
 				kind: 'revise', ...this.#changeFields(), profile, base: found.base,
@@ -37,7 +37,7 @@
 	}
 
 	async retire(name: ProfileName, base: number | undefined): Promise<ChangeResult> {
-		const found = await this.#baseOf(name, base);
+		const found = await this.#resolveBase(name, base);
 		return found.kind === 'base'
 			? appendChange(this.context, {
 				kind: 'retire', ...this.#changeFields(), name, base: found.base,
@@ -45,33 +45,33 @@
 			: found;
 	}
 
-	/** Finds out what became of a change whose command ended with `unknown`. */
+	/** Determines the outcome of a change whose command ended with `unknown`. */
 	async settle(changeId: string): Promise<ChangeResult> {
 		const outcome = await findOutcome(this.context.stream, changeId);
 		if (outcome === undefined) {
-			return {kind: 'unknown', changeId, detail: 'the log can\'t be read, or has no such change: if it can be read, the change was not made'};
+			return {kind: 'unknown', changeId, detail: 'the log can\'t be read, or doesn\'t contain the change; if it can be read, the change was not made'};
 		}
 
 		return confirmOutcome(this.context, outcome, this.context.clock.now());
 	}
 
 	async list(): Promise<readonly ProfileRevision[]> {
-		const ledger = await readConfiguration(this.context.stream);
-		return [...ledger.configuration.profiles.values()];
+		const replica = await readConfiguration(this.context.stream);
+		return [...replica.configuration.profiles.values()];
 	}
 
-	/** The changes of a profile that the log still holds, and what became of them. */
+	/** The changes of a profile that the log retains, with their outcomes. */
 	async history(name: string): Promise<readonly HistoryEntry[]> {
 		return readHistory(this.context.stream, name);
 	}
 
-	/** What differs between two revisions of a profile that the log still holds. */
-	async differenceBetween(name: string, left: number, right: number): Promise<readonly string[]> {
+	/** Compares two revisions of a profile that the log retains. */
+	async compareRevisions(name: string, left: number, right: number): Promise<readonly string[]> {
 		const history = await readHistory(this.context.stream, name);
 		const profileAt = (revision: number) => {
 			const entry = history.find(({offset}) => offset === revision);
 			if (entry === undefined || entry.change.kind === 'retire') {
-				throw new Error(`the log holds no revision ${revision} of ${name}`);
+				throw new Error(`the log contains no revision ${revision} of ${name}`);
 			}
 
 			return entry.change.profile;
@@ -80,20 +80,20 @@
 		return profileDifference(profileAt(left), profileAt(right));
 	}
 
-	/** What a change would alter, against the log's present state. */
-	async difference(profile: Profile): Promise<readonly string[]> {
-		const ledger = await readConfiguration(this.context.stream);
-		const current = ledger.configuration.profiles.get(profile.name);
+	/** Compares a profile with the current revision in the log. */
+	async compareWithCurrent(profile: Profile): Promise<readonly string[]> {
+		const replica = await readConfiguration(this.context.stream);
+		const current = replica.configuration.profiles.get(profile.name);
 		return profileDifference(current?.state === 'live' ? current.profile : undefined, profile);
 	}
 
-	async #baseOf(name: ProfileName, base: number | undefined): Promise<{readonly kind: 'base'; readonly base: Revision} | Extract<ChangeResult, {kind: 'rejected'}>> {
+	async #resolveBase(name: ProfileName, base: number | undefined): Promise<{readonly kind: 'base'; readonly base: Revision} | Extract<ChangeResult, {kind: 'rejected'}>> {
 		if (base !== undefined) {
 			return {kind: 'base', base: base as Revision};
 		}
 
-		const ledger = await readConfiguration(this.context.stream);
-		const current = ledger.configuration.profiles.get(name);
+		const replica = await readConfiguration(this.context.stream);
+		const current = replica.configuration.profiles.get(name);
 		return current?.state === 'live' ? {kind: 'base', base: current.revision} : {kind: 'rejected', cause: 'absent', winner: current?.revision};
 	}
 
--- a/src/entries/command/profile-difference.ts
+++ b/src/entries/command/profile-difference.ts
@@ -1,22 +1,22 @@
-/** What differs between two profiles. */
+/** Compares two profiles field by field. */
 
-type Tree = Readonly<Record<string, unknown>>;
+type JsonObject = Readonly<Record<string, unknown>>;
 
-/** Lines like `limits.tasksInFlight: 10 → 20`; nothing where the two say the same. */
+/** One line for each changed field, such as `limits.tasksInFlight: 10 → 20`; empty if there is none. */
 export function profileDifference(before: unknown, after: unknown, path = ''): readonly string[] {
-	if (isTree(before) && isTree(after)) {
+	if (isObject(before) && isObject(after)) {
 		const keys = [...new Set([...Object.keys(before), ...Object.keys(after)])];
 		return keys.flatMap(key => profileDifference(before[key], after[key], path === '' ? key : `${path}.${key}`));
 	}
 
-	const [left, right] = [shown(before), shown(after)];
+	const [left, right] = [format(before), format(after)];
 	return left === right ? [] : [`${path}: ${left} → ${right}`];
 }
 
-function isTree(value: unknown): value is Tree {
+function isObject(value: unknown): value is JsonObject {
 	return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-function shown(value: unknown): string {
+function format(value: unknown): string {
 	return value === undefined ? '(none)' : JSON.stringify(value);
 }
--- a/src/entries/command/read-history.ts
+++ b/src/entries/command/read-history.ts
@@ -1,4 +1,4 @@
-/** Reads what became of the changes that the log still holds. */
+/** Reads the history of a profile from the log. */
 import {CancellationSource} from '../../base/cancellation-source.js';
 import type {StreamOffset} from '../../base/stream-offset.js';
 import {configurationRecordSchema} from '../../features/profiles/configuration-record-schema.js';
@@ -7,10 +7,10 @@
 import type {HistoryEntry} from './history-entry.js';
 import {readConfiguration} from './read-configuration.js';
 
-/** The changes of one profile, oldest first; rejects where the log can't be read. */
+/** The changes of one profile that the log retains, oldest first. Rejects if the log can't be read. */
 export async function readHistory(stream: LogStream, name: string): Promise<readonly HistoryEntry[]> {
-	const ledger = await readConfiguration(stream);
-	const {changes} = ledger.configuration;
+	const replica = await readConfiguration(stream);
+	const {changes} = replica.configuration;
 	const history: HistoryEntry[] = [];
 	for (const {offset, body} of await readRecords(stream)) {
 		const checked = configurationRecordSchema.safeParse(body);
@@ -20,8 +20,8 @@
 
 		const change = checked.data;
 		const outcome = changes.get(change.changeId);
-		const changed = change.kind === 'retire' ? change.name : change.profile.name;
-		if (outcome !== undefined && changed === name) {
+		const profileName = change.kind === 'retire' ? change.name : change.profile.name;
+		if (outcome !== undefined && profileName === name) {
 			history.push({offset, change, outcome});
 		}
 	}
@@ -34,14 +34,14 @@
 	const {token} = new CancellationSource();
 	let from = 0 as StreamOffset;
 	for (;;) {
-		const reading = await stream.read(from, 0, token);
-		if (reading.kind === 'unavailable') {
-			throw new Error(`the log can't be read: ${reading.detail}`);
+		const result = await stream.read(from, 0, token);
+		if (result.kind === 'unavailable') {
+			throw new Error(`the log can't be read: ${result.detail}`);
 		}
 
-		records.push(...reading.page.records);
-		from = ((reading.page.records.at(-1)?.offset ?? reading.page.nextOffset - 1) + 1) as StreamOffset;
-		if (from >= reading.page.nextOffset) {
+		records.push(...result.page.records);
+		from = ((result.page.records.at(-1)?.offset ?? result.page.nextOffset - 1) + 1) as StreamOffset;
+		if (from >= result.page.nextOffset) {
 			return records;
 		}
 	}
--- a/src/entries/command/read-log-lines.ts
+++ b/src/entries/command/read-log-lines.ts
@@ -1,4 +1,4 @@
-/** Reads logs. */
+/** Reads the events of one log. */
 import type {Readable} from 'node:stream';
 import {createInterface} from 'node:readline';
 import * as z from 'zod';
@@ -6,7 +6,7 @@
 
 const lineSchema = z.looseObject({at: z.number(), event: z.string()});
 
-/** The lines that are events; whatever else a collector put between them is passed over. */
+/** All lines that are events. Other lines are ignored. */
 export async function readLogLines(source: string, input: Readable): Promise<readonly LogLine[]> {
 	const lines: LogLine[] = [];
 	for await (const text of createInterface({input})) {
@@ -22,7 +22,7 @@
 	return lines;
 }
 
-/** A collector may put its own words before the object. */
+/** Skips any prefix that a log collector put before the JSON object. */
 function decode(text: string): z.output<typeof lineSchema> | undefined {
 	const begin = text.indexOf('{');
 	if (begin === -1) {
@@ -33,7 +33,7 @@
 		const checked = lineSchema.safeParse(JSON.parse(text.slice(begin)));
 		return checked.success ? checked.data : undefined;
 	} catch {
-		// Not one of ours: another program's line, or one that was cut in the middle.
+		// Output of another program, or a truncated line.
 		return undefined;
 	}
 }
--- a/src/entries/command/read-profile.ts
+++ b/src/entries/command/read-profile.ts
@@ -5,7 +5,7 @@
 import {describeProblem} from '../../runtime/settings/describe-problem.js';
 import {readDocument} from '../../runtime/settings/read-document.js';
 
-/** Rejects with a line for each mistake. */
+/** Throws an error with one line for each validation problem. */
 export function readProfile(file: string): Profile {
 	const document = readDocument(readFileSync(file, 'utf8'), profileSchema);
 	if (document.kind === 'invalid') {
--- a/src/entries/command/submit-jobs.ts
+++ b/src/entries/command/submit-jobs.ts
@@ -1,15 +1,16 @@
-/** Submits jobs from JSON lines. */
+/** Submits jobs that are read as JSON lines. */
 import {randomUUID} from 'node:crypto';
 import {createInterface} from 'node:readline';
 import {request} from 'undici';
 import {exitCode} from './exit-code.js';
 
-const concurrentJobs = 64;
-const doubtfulStatus = 504;
+const maxConcurrentJobs = 64;
+/** Reported when the connection failed after the job may have been received. */
+const unknownOutcomeStatus = 504;
 
 type Result = {readonly line: number; readonly status: number; readonly verdict: string; readonly milliseconds: number; readonly body: unknown};
 
-/** Prints one JSON line for each job as it's answered, and returns the exit code of the worst verdict. */
+/** Prints a JSON line for each job once it is answered, and returns the exit code of the worst verdict. */
 export async function submitJobs(entryUrl: string, input: NodeJS.ReadableStream, print: (line: string) => void): Promise<number> {
 	const running = new Set<Promise<void>>();
 	let worst: number = exitCode.done;
@@ -20,7 +21,7 @@
 		worst = Math.max(worst, codeOf(result));
 	};
 
-	const forget = async (job: Promise<void>) => {
+	const removeWhenDone = async (job: Promise<void>) => {
 		await job;
 		running.delete(job);
 	};
@@ -33,8 +34,8 @@
 
 		const job = report(submitOne(entryUrl, text, line));
 		running.add(job);
-		void forget(job);
-		if (running.size >= concurrentJobs) {
+		void removeWhenDone(job);
+		if (running.size >= maxConcurrentJobs) {
 			await Promise.race(running);
 		}
 	}
@@ -49,7 +50,7 @@
 		job = JSON.parse(text) as typeof job;
 	} catch (error) {
 		return {
-			line, status: 0, verdict: 'not-run', milliseconds: 0, body: {detail: `the line isn't JSON: ${String(error)}`},
+			line, status: 0, verdict: 'not-run', milliseconds: 0, body: {detail: `the line isn't valid JSON: ${String(error)}`},
 		};
 	}
 
@@ -72,7 +73,7 @@
 	} catch (error) {
 		const isRefused = (error as NodeJS.ErrnoException).code === 'ECONNREFUSED';
 		return {
-			line, status: isRefused ? 0 : doubtfulStatus, verdict: isRefused ? 'not-run' : 'may-have-run', milliseconds: elapsed(), body: {id, detail: String(error)},
+			line, status: isRefused ? 0 : unknownOutcomeStatus, verdict: isRefused ? 'not-run' : 'may-have-run', milliseconds: elapsed(), body: {id, detail: String(error)},
 		};
 	}
 }
--- a/test/entries/command/build-timeline.test.ts
+++ b/test/entries/command/build-timeline.test.ts
@@ -1,4 +1,4 @@
-/** A job's story from the logs of two entries. */
+/** Timelines from the logs of two entries. */
 import assert from 'node:assert/strict';
 import {Readable} from 'node:stream';
 import {test} from 'node:test';
@@ -6,7 +6,7 @@
 import {readLogLines} from '../../../src/entries/command/read-log-lines.js';
 import {snapshotsOf} from '../../support/snapshots.js';
 
-const matches = snapshotsOf(import.meta.url);
+const matchesSnapshot = snapshotsOf(import.meta.url);
 
 function logOf(...events: ReadonlyArray<Readonly<Record<string, unknown>>>): Readable {
 	return Readable.from(events.map(event => `${JSON.stringify({
@@ -14,7 +14,7 @@
 	})}\n`));
 }
 
-test('the story holds the job\'s own lines and what happened to those who took part, in the order of time', async () => {
+test('a timeline contains the job\'s lines and related events of the targets and entries involved, ordered by time', async () => {
 	const job = '5c0e7a21d94b36f8';
 	const task = `${job}.0.0.1`;
 	const first = await readLogLines('entry-1.log', logOf(
@@ -47,11 +47,11 @@
 		},
 		{at: 1390, event: 'processPaused', milliseconds: 700},
 	));
-	matches('story', buildTimeline([...first, ...second], job));
+	matchesSnapshot('timeline', buildTimeline([...first, ...second], job));
 	assert.deepEqual(buildTimeline([...first, ...second], 'ffffffffffffffff'), []);
 });
 
-test('lines of other programs, and lines that were cut, are passed over', async () => {
+test('lines of other programs and truncated lines are ignored', async () => {
 	const input = Readable.from(['starting\n', 'collector 12:00 {"at":5,"event":"edgeStarted","instance":"a"}\n', '{"at":6,"event":"edgeSt']);
 	const lines = await readLogLines('-', input);
 	assert.deepEqual(lines.map(line => line.event), ['edgeStarted']);
--- a/test/entries/command/losses/loss-analysis.test.ts
+++ b/test/entries/command/losses/loss-analysis.test.ts
@@ -1,4 +1,4 @@
-/** Why jobs were not in time, from lines as entries write them. */
+/** Attribution of lost jobs to reasons, from log lines as entries write them. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {LogLine} from '../../../../src/entries/command/log-line.js';
@@ -37,15 +37,15 @@
 	return line(at, 'jobEnded', {job, verdict, detail});
 }
 
-/** The reasons of all jobs, in hundredths of a job. */
+/** The total weight of each reason, in hundredths of a job. */
 function reasonsOf(lines: readonly LogLine[]): Readonly<Record<string, number>> {
-	const account = new LossAnalysis(2000);
+	const analysis = new LossAnalysis(2000);
 	for (const one of lines) {
-		account.take(one);
+		analysis.add(one);
 	}
 
 	const reasons: Record<string, number> = {};
-	for (const slice of account.close()) {
+	for (const slice of analysis.finish()) {
 		for (const [reason, lost] of slice.reasons) {
 			reasons[reason] = (reasons[reason] ?? 0) + Math.round(lost * 100);
 		}
@@ -54,10 +54,10 @@
 	return reasons;
 }
 
-const neighbour = 'aaaaaaaaaaaaaaaa.0.0.0';
-const stories: Readonly<Record<string, readonly LogLine[]>> = {
-	waitedForRoom: [started(0, {of: neighbour, room: 30_000}), accepted(10), started(310), ended(370, 'done'), answered(370)],
-	waitedBesideIdleRoom: [started(0, {of: neighbour}), accepted(10), started(310), ended(370, 'done'), answered(370)],
+const otherTask = 'aaaaaaaaaaaaaaaa.0.0.0';
+const scenarios: Readonly<Record<string, readonly LogLine[]>> = {
+	waitedForRoom: [started(0, {of: otherTask, room: 30_000}), accepted(10), started(310), ended(370, 'done'), answered(370)],
+	waitedBesideIdleRoom: [started(0, {of: otherTask}), accepted(10), started(310), ended(370, 'done'), answered(370)],
 	onTheWay: [accepted(10), line(10, 'taskSent', {task, attempt: 1, owner: 'e-2'}), started(310), ended(370, 'done'), answered(370)],
 	refusedByOwner: [
 		accepted(10), line(10, 'taskSent', {task, attempt: 1, owner: 'e-2'}), ended(300, 'refused', {cause: 'noRoom'}), started(300, {attempt: 2}), ended(360, 'done', {attempt: 2}), answered(360),
@@ -82,22 +82,22 @@
 	unexplained: [accepted(10), answered(10, 'mayHaveRun', 'stopped: the entry ends')],
 };
 
-for (const [reason, lines] of Object.entries(stories)) {
-	test(`a job that is lost to ${reason} is put down to it`, () => {
+for (const [reason, lines] of Object.entries(scenarios)) {
+	test(`a job lost to ${reason} is attributed to it`, () => {
 		assert.deepEqual(reasonsOf(lines), {[reason]: 100});
 	});
 
-	test(`without the line that tells of ${reason} the account differs`, () => {
-		const telling: Readonly<Record<string, number>> = {
+	test(`without the line that shows ${reason} the attribution differs`, () => {
+		const decisive: Readonly<Record<string, number>> = {
 			waitedForRoom: 2, waitedBesideIdleRoom: 0, onTheWay: 1, refusedByOwner: 2, orderUnanswered: 2, slowTarget: 2, longRun: 2, runFailed: 2, targetLost: 2, ownerLost: 3, resubmitted: 0, unexplained: 1,
 		};
-		// The stop's cause stands in the end's line as well.
-		const without = lines.filter((one, index) => index !== telling[reason] && (one.event !== 'runEnded' || one.fields.cause !== lines[telling[reason]!]!.fields.cause || one.fields.cause === undefined));
-		assert.notDeepEqual(reasonsOf(without), {[reason]: 100});
+		// The cause of a stop is repeated in the line of the run's end.
+		const remaining = lines.filter((one, index) => index !== decisive[reason] && (one.event !== 'runEnded' || one.fields.cause !== lines[decisive[reason]!]!.fields.cause || one.fields.cause === undefined));
+		assert.notDeepEqual(reasonsOf(remaining), {[reason]: 100});
 	});
 }
 
-test('a target that is slow with others as well is told from a run that was just long', () => {
+test('a target that is slow with other jobs too is distinguished from a single long run', () => {
 	const others = Array.from({length: 10}, (_, index) => index * 400).flatMap(at => [
 		accepted(at, {job: `bbbbbbbbbbbbbb${at / 400}0`, objectiveMilliseconds: 1000}), started(at, {of: `bbbbbbbbbbbbbb${at / 400}0.0.0.0`}), ended(at + 300, 'done', {of: `bbbbbbbbbbbbbb${at / 400}0.0.0.0`, ran: 300}),
 	]);
@@ -106,18 +106,18 @@
 	assert.equal((reasons.slowTarget ?? 0) >= 100, true);
 });
 
-test('each job is counted once, by what became of it, and the reasons add up to those that were lost', () => {
-	const account = new LossAnalysis(1000);
-	const fates = [['answered', 'complete'], ['answered', 'complete'], ['notRun', 'deadlineUnreachable: no room in time'], ['mayHaveRun', 'executorLost: e-2 is lost'], undefined] as const;
-	for (const [index, fate] of fates.entries()) {
+test('each job is counted once by its outcome, and the reasons add up to the number of lost jobs', () => {
+	const analysis = new LossAnalysis(1000);
+	const outcomes = [['answered', 'complete'], ['answered', 'complete'], ['notRun', 'deadlineUnreachable: no room in time'], ['mayHaveRun', 'executorLost: e-2 is lost'], undefined] as const;
+	for (const [index, outcome] of outcomes.entries()) {
 		const id = `cccccccccccccc0${index}`;
-		account.take(accepted(index * 10, {job: id}));
-		if (fate !== undefined) {
-			account.take(line((index * 10) + (index === 1 ? 400 : 100), 'jobEnded', {job: id, verdict: fate[0], detail: fate[1]}));
+		analysis.add(accepted(index * 10, {job: id}));
+		if (outcome !== undefined) {
+			analysis.add(line((index * 10) + (index === 1 ? 400 : 100), 'jobEnded', {job: id, verdict: outcome[0], detail: outcome[1]}));
 		}
 	}
 
-	const [slice] = account.close();
+	const [slice] = analysis.finish();
 	const reasons = [...slice!.reasons.values()].reduce((sum, part) => sum + part, 0);
 	assert.deepEqual({counts: slice!.counts, reasons: Math.round(reasons)}, {
 		counts: {
--- a/test/entries/command/losses/report-losses.test.ts
+++ b/test/entries/command/losses/report-losses.test.ts
@@ -25,7 +25,7 @@
 	sliceSeconds: 2, most: 20, isJson: true, plot: undefined,
 };
 
-test('lines of several files are taken in the order of time, and what tells nothing is counted by kind', async () => {
+test('lines of several files are merged in order of time, and unreadable lines are counted by kind', async () => {
 	const first = write('first.log', ['words of a collector', refused, '{"ms":5,"at":12', '{"at":1,"event":"ofLater"}']);
 	const second = write('second.log', [`2026-12-02 entry-1 ${accepted}`]);
 	const lines = await reportLosses({...options, files: [first, second]});
@@ -41,14 +41,14 @@
 	]);
 });
 
-test('a picture is drawn, and a log without jobs gives no report', async () => {
+test('a chart is written, and a log without jobs gives no report', async () => {
 	const plot = join(folder, 'losses.svg');
 	await reportLosses({...options, files: [write('one.log', [accepted, refused])], plot});
 	assert.match(readFileSync(plot, 'utf8'), /^<svg[\s\S]*waitedForRoom/v);
 	assert.deepEqual(await reportLosses({...options, files: [write('none.log', ['nothing'])]}), []);
 });
 
-test('people get the sums first', async () => {
+test('the text report starts with the totals', async () => {
 	const lines = await reportLosses({...options, isJson: false, files: [write('people.log', [accepted, refused])]});
 	assert.deepEqual(lines.slice(1, 3), ['whole\tall\t1\t0\t0\t1\t0\t0\twaitedForRoom 1.0', 'whole\tquick\t1\t0\t0\t1\t0\t0\twaitedForRoom 1.0']);
 });
