--- a/test/entries/edge/adopted-runs.test.ts
+++ b/test/entries/edge/adopted-runs.test.ts
@@ -1,4 +1,4 @@
-/** Runs that go on under another owner while their entry can't be heard, or can't hear. */
+/** Runs that a new owner adopts while their requester is unreachable. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {PooledWorld} from '../../support/pooled-world.js';
@@ -6,8 +6,8 @@
 const id = '00000000000000aa';
 const job = {payload: '5000', declared: 4000, patience: 9000};
 
-// The next owner's word doesn't reach the run's entry, which begins the task elsewhere after a lease while that owner renews it.
-test('a run whose adoption its entry never heard of has ended when the entry begins it again', async () => {
+// Guards against a requester that misses the adoption message and starts the task elsewhere while the new owner renews the run.
+test('a run whose requester misses the adoption has ended before the requester starts the task again', async () => {
 	const world = new PooledWorld(['a-1', 'b-1', 'b-2', 'c-1'], 0);
 	for (const index of [0, 1, 2, 3]) {
 		world.addTarget(`b-target-${index}`, 'b');
@@ -18,14 +18,14 @@
 	await world.pass(300);
 	world.addTarget('c-target', 'c');
 	const [sent] = world.journal.named('taskSent');
-	const [owner, next] = sent!.owner === 'b-1#1' ? ['b-1', 'b-2'] as const : ['b-2', 'b-1'] as const;
-	world.network.cuts.add(`${next}#1>a-1#1`);
+	const [owner, successor] = sent!.owner === 'b-1#1' ? ['b-1', 'b-2'] as const : ['b-2', 'b-1'] as const;
+	world.network.cuts.add(`${successor}#1>a-1#1`);
 	await Promise.all([world.entries.get(owner)!.leave(), world.pass(2000)]);
 	assert.equal(world.orders.mostAtOnce, 1);
 });
 
-// Owners that ran nothing for a dead entry before count its silence from a handover on, beyond the 1300 ms that its callers wait.
-test('runs of an entry that died before they were handed over have ended when its callers submit again', async () => {
+// Guards against a new owner that measures a dead requester's silence from the handover, and so keeps its run past the resubmission.
+test('runs that are handed over after their requester crashed have ended before its callers resubmit', async () => {
 	const names = Array.from({length: 24}, (_, index) => `z${index % 3}-${Math.floor(index / 3)}`);
 	const world = new PooledWorld(names, 8);
 	await world.startByDirectory();
--- a/test/entries/edge/bundle.test.ts
+++ b/test/entries/edge/bundle.test.ts
@@ -1,4 +1,4 @@
-/** The edge daemon as it's delivered: one file. */
+/** The bundled edge daemon. */
 import assert from 'node:assert/strict';
 import {spawnSync} from 'node:child_process';
 import {
@@ -9,9 +9,8 @@
 import process from 'node:process';
 import {after, test} from 'node:test';
 
-// Every entry of an installation would end at its start: the bundle lies in another folder than the modules it's made of,
-// and what they look for beside themselves isn't there.
-test('the bundle starts, checks its settings and names the missing field', () => {
+// Guards against files that the bundle can't find at startup because its path differs from that of the modules.
+test('the bundle starts, validates its settings and reports missing fields', () => {
 	const folder = mkdtempSync(join(tmpdir(), 'savorylock-bundle-'));
 	after(() => {
 		rmSync(folder, {recursive: true});
@@ -25,11 +24,10 @@
 	assert.match(stderr, /listen\.front: /v);
 });
 
-// A settings file changes just after an entry was started, and the entry ends: the platform's signal comes while libraries
-// are still being loaded, and without a handler it ends the process.
-test('a signal to reload is taken before any library is loaded', () => {
+// Guards against a process that SIGHUP terminates while it is still loading libraries.
+test('the reload signal is handled before any library is loaded', () => {
 	const bundle = readFileSync('target/savorylock-edge.js', 'utf8');
-	// Modules of the older kind stand before it, but are wrapped in functions that the newer kind calls when it's evaluated.
+	// CommonJS modules precede it in the bundle, but are wrapped in functions that run only when an ES module imports them.
 	const evaluated = [...bundle.matchAll(/^\/\/ (?<module>\S+)\n(?!var \w+ = __commonJS)/gmv)].map(({groups}) => groups?.module);
 	assert.equal(evaluated[0], 'src/entries/edge/early-signals.ts', evaluated.slice(0, 3).join(', '));
 });
--- a/test/entries/edge/crashing-tasks.test.ts
+++ b/test/entries/edge/crashing-tasks.test.ts
@@ -1,4 +1,4 @@
-/** Tasks that take down every target that starts them. */
+/** Tasks that crash every target that starts them. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {InstanceId} from '../../../src/base/instance-id.js';
@@ -6,7 +6,7 @@
 
 const crashing = 'crashes its target';
 const callerPatience = 1500;
-/** When a caller submits again after it got no answer, from its last submission. */
+/** The interval after which a caller without an answer submits its job again. */
 const resubmitMilliseconds = 1300;
 const settlingMilliseconds = 6000;
 const entries = ['a-1', 'a-2', 'b-1', 'b-2'];
@@ -18,7 +18,7 @@
 	return world;
 }
 
-/** A caller that submits its job again, each time at the next entry, until it gets an answer. */
+/** Submits a job to one entry after another until it is answered. */
 async function submitUntilAnswered(world: PooledWorld, id: string, options: Parameters<PooledWorld['submit']>[2], submissions = 8) {
 	for (let submission = 0; submission < submissions; submission += 1) {
 		const submitted = world.submit(entries[submission % entries.length]!, id, {...options, patience: callerPatience});
@@ -33,17 +33,15 @@
 	return undefined;
 }
 
-// A job's task crashes its target, and its caller, who gets no answer in time, submits the job again at another entry. Each
-// entry knew only of its own tries, and began the task on one target after the other: nine targets went down, each with
-// all else that ran there.
-test('a task that crashes its targets is started three times at most, wherever its job is submitted again', async () => {
+// Guards against entries that count only their own attempts, so that resubmissions let one task crash many targets.
+test('a task that crashes its targets is started at most three times, wherever its job is resubmitted', async () => {
 	const world = await startedWorld();
 	const answer = await submitUntilAnswered(world, '0000000000000001', {payload: crashing});
 	await world.pass(settlingMilliseconds);
 	assert.deepEqual({crashes: world.orders.crashes.length <= 3, answer}, {crashes: true, answer: 'failed'}, `${world.orders.crashes.length} crashes`);
 });
 
-test('a job whose task is known to crash targets is answered at once when it is submitted again', async () => {
+test('a resubmitted job whose task is known to crash targets is answered immediately', async () => {
 	const world = await startedWorld();
 	await submitUntilAnswered(world, '0000000000000001', {payload: crashing});
 	await world.pass(settlingMilliseconds);
@@ -53,8 +51,8 @@
 	assert.deepEqual([again.verdict, world.orders.crashes.length], [{kind: 'answered', answer: 'failed'}, length]);
 });
 
-// The entry that had the job goes down with it: what the task has done must be known to the one where it comes again.
-test('it holds when the entry of the job is lost', async () => {
+// Guards against crash counts that are lost with the job's entry.
+test('a task that crashes its targets is started at most three times even if the entry of its job is lost', async () => {
 	const world = await startedWorld();
 	const first = world.submit('a-1', '0000000000000001', {payload: crashing, patience: callerPatience});
 	await world.pass(resubmitMilliseconds);
@@ -68,9 +66,8 @@
 	assert.equal(world.orders.crashes.length <= 3, true, `${world.orders.crashes.length} crashes`);
 });
 
-// A rack loses its power: its targets go down with tasks that have done nothing wrong, and are back after two seconds. Those
-// tasks are begun elsewhere, and their jobs are answered.
-test('tasks on targets that crash for another cause are neither given up nor held back', async () => {
+// Guards against tasks that are blamed for an outage of their rack.
+test('tasks on targets that crash for another reason are neither given up nor delayed', async () => {
 	const world = await startedWorld();
 	const jobs = Array.from({length: 20}, (_, index) => world.submit(entries[index % entries.length]!, String(index).padStart(16, '0'), {payload: '300', patience: 5000}));
 	await world.pass(100);
@@ -83,9 +80,8 @@
 	assert.deepEqual(jobs.map(({verdict}) => verdict?.kind === 'answered' && verdict.answer).filter(answer => answer !== 'complete'), []);
 });
 
-// Jobs run beside a task that crashes its target, and go down with it. They are begun again elsewhere and do no harm there; to
-// give them up as well would fail callers for what others did.
-test('tasks beside one that crashes its target are not given up', async () => {
+// Guards against failing jobs because another task crashed the target they shared.
+test('tasks on the same target as a crashing task are not given up', async () => {
 	const world = await startedWorld();
 	const sound: Array<ReturnType<PooledWorld['submit']>> = [];
 	for (let round = 0; round < 30; round += 1) {
@@ -107,9 +103,8 @@
 	assert.equal(failed.length, 0, `${failed.length} of ${sound.length} jobs`);
 });
 
-// A target is down, and its owner doesn't know yet: a task is sent there and never starts. Begun again, it runs beside one that
-// crashes its target. Counted as two crashes, its job was answered as one that can't be done.
-test('a task that was sent to a target that was down already is not taken for its crash', async () => {
+// Guards against counting a start on a target that was already down as a crash caused by the task.
+test('a task sent to a target that was already down is not blamed for the crash', async () => {
 	const world = await startedWorld();
 	for (let index = 0; index < 16; index += 1) {
 		world.orders.crash(`a-target-${index}` as InstanceId);
--- a/test/entries/edge/false-losses.test.ts
+++ b/test/entries/edge/false-losses.test.ts
@@ -1,12 +1,12 @@
-/** Jobs of entries that another one takes as lost, though all of their owners hear them. */
+/** Jobs of entries that one peer wrongly declares lost. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {PooledWorld} from '../../support/pooled-world.js';
 
 const job = {payload: '3000', declared: 3000, patience: 6000};
 
-// A frozen entry's timers run before it reads what has come: it drops sound entries, which give up all jobs on its word.
-test('an entry that was frozen for 0.7 s costs the others no job that it has no part in', async () => {
+// Guards against a resumed entry whose timers run before it reads its sockets: it declares healthy peers lost, which then give up their jobs.
+test('an entry that was frozen for 0.7 s does not affect jobs that it is not involved in', async () => {
 	const names = ['a-1', 'b-1', 'c-1', 'd-1', 'e-1', 'f-1'];
 	const world = new PooledWorld(names, 2);
 	await world.start();
@@ -21,8 +21,8 @@
 	assert.deepEqual(submitted.map(({verdict}) => verdict?.kind), others.map(() => 'answered'));
 });
 
-// Messages one way between two zones are lost for a moment: nothing that runs within a zone has to end.
-test('jobs that run within their zone outlast a second in which another zone does not hear it', async () => {
+// Guards against giving up jobs that run within one zone when messages to another zone are lost in one direction.
+test('jobs that run within one zone survive a one-way partition of one second from another zone', async () => {
 	const [left, right] = [['a-1', 'a-2', 'a-3'], ['b-1', 'b-2', 'b-3']] as const;
 	const world = new PooledWorld([...left, ...right], 6);
 	await world.start();
@@ -41,8 +41,8 @@
 	assert.deepEqual(submitted.map(({verdict}) => verdict?.kind), ['answered', 'answered', 'answered']);
 });
 
-// A cut holds up frames from before the loss that it brings: read first after it, they have the loss look like one side's alone.
-test('jobs that run within their zone outlast a second in which a cut holds up what goes to another zone', async () => {
+// Guards against frames delayed by a partition: sent before the loss but read after it, they make it look one-sided.
+test('jobs that run within one zone survive a partition that delays messages to another zone by one second', async () => {
 	const names = ['a-1', 'a-2', 'a-3', 'b-1', 'b-2', 'b-3'];
 	const world = new PooledWorld(names, 6);
 	await world.start();
--- a/test/entries/edge/large-fleets.test.ts
+++ b/test/entries/edge/large-fleets.test.ts
@@ -1,4 +1,4 @@
-/** What entries of a fleet in which not everybody is close make of each other's silence. */
+/** Failure detection in fleets where entries monitor only part of their peers closely. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {PooledWorld} from '../../support/pooled-world.js';
@@ -10,8 +10,8 @@
 	return Array.from({length: count}, (_, index) => `z${index % 3}-${Math.floor(index / 3)}`);
 }
 
-// An owner in another zone hasn't lost the suspended entry yet, and its word of room is read before the caller's hang-up.
-test('a suspended entry of a large fleet begins no waiting task at an owner that has not lost it', async () => {
+// Guards against a resumed entry that learns of free capacity before its caller's disconnect, from an owner that has not lost it.
+test('a resumed entry of a large fleet starts no waiting task at an owner that has not declared it lost', async () => {
 	const world = new PooledWorld(namesOf(24), 0);
 	world.addTarget('z0-target', 'z0');
 	world.addTarget('z1-target', 'z1');
@@ -42,8 +42,8 @@
 	assert.equal(world.orders.mostAtOnce, 1);
 });
 
-// Entries that know few others expect all their heartbeats as close ones: told of such a loss, sound entries give up all their jobs.
-test('jobs that have no part in an entry that is cut off for a second go on', async () => {
+// Guards against entries with few peers that expect frequent heartbeats from all of them and report healthy peers as lost.
+test('jobs that do not involve an entry continue while it is isolated for a second', async () => {
 	const names = namesOf(18);
 	const world = new PooledWorld(names, 8);
 	await world.startByDirectory();
--- a/test/entries/edge/late-messages.test.ts
+++ b/test/entries/edge/late-messages.test.ts
@@ -1,4 +1,4 @@
-/** Requests, stops and reports between entries that are lost, late, or overtaken on another connection. */
+/** Requests, stops and reports between entries that are lost, delayed or reordered. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {Resources} from '../../../src/base/resources.js';
@@ -7,29 +7,29 @@
 
 const id = '00000000000000aa';
 const job = {payload: '5000', declared: 2000, patience: 4000};
-/** As another entry asks for it; no target has room for a second one of its size. */
+/** A request from another entry, too large for two of them to fit on one target. */
 const firstTaskOfJob = {...requestOf(`${id}.0.0.0`, '3000'), need: new Resources(40_000, 64, 0)};
-const wayToOwner = 'a-1#1>b-1#1';
+const routeToOwner = 'a-1#1>b-1#1';
 
 /** Only the owner `b-1` has a target until `c-1` gets one. */
-async function worldOfOneOwner() {
+async function createWorldWithOneOwner() {
 	const world = new PooledWorld(['a-1', 'b-1', 'c-1'], 0);
 	world.addTarget('b-target', 'b');
 	await world.start();
 	return world;
 }
 
-// A stop is lost with a connection that fell silent: the run goes on beside the one of the caller's next submission.
-test('a run whose stop was lost with its connection ends once the connection is made anew', async () => {
-	const world = await worldOfOneOwner();
+// Guards against a lost stop, after which the run continues beside that of the caller's next submission.
+test('a run whose stop was lost with its connection ends after the reconnect', async () => {
+	const world = await createWorldWithOneOwner();
 	const first = world.submit('a-1', id, job);
 	await world.pass(100);
 	assert.deepEqual(world.running(), [`${id}.0.0.0`]);
-	world.network.cuts.add(wayToOwner);
+	world.network.cuts.add(routeToOwner);
 	await world.pass(100);
 	first.cancel();
 	await world.pass(400);
-	world.network.cuts.delete(wayToOwner);
+	world.network.cuts.delete(routeToOwner);
 	world.network.reconnect('a-1', 'b-1');
 	world.network.reconnect('b-1', 'a-1');
 	world.addTarget('c-target', 'c');
@@ -39,26 +39,26 @@
 	assert.equal(world.orders.mostAtOnce, 1);
 });
 
-// A request is held up on a connection that was given up, and its stop comes on the next one: begun after that, the run is nobody's.
-test('a request that comes after its stop starts nothing', async () => {
-	const world = await worldOfOneOwner();
-	world.network.delays.set(wayToOwner, 700);
+// Guards against a request that is delayed on an abandoned connection and starts an unowned run after its stop has arrived.
+test('a request that arrives after its stop starts nothing', async () => {
+	const world = await createWorldWithOneOwner();
+	world.network.delays.set(routeToOwner, 700);
 	const first = world.submit('a-1', id, job);
 	await world.pass(20);
-	world.network.delays.delete(wayToOwner);
+	world.network.delays.delete(routeToOwner);
 	await world.pass(300);
 	first.cancel();
 	await world.pass(1000);
 	assert.deepEqual(world.orders.starts, []);
 });
 
-// A cut holds a request up until both sides have taken each other as lost and the caller has submitted elsewhere.
-test('a request that a cut held up until its entry was lost starts nothing', async () => {
-	const world = await worldOfOneOwner();
-	world.network.delays.set(wayToOwner, 2600);
+// Guards against a request that a partition delays until the caller has submitted the job elsewhere.
+test('a request that a partition delayed until its requester was declared lost starts nothing', async () => {
+	const world = await createWorldWithOneOwner();
+	world.network.delays.set(routeToOwner, 2600);
 	const first = world.submit('a-1', id, job);
 	await world.pass(20);
-	world.network.delays.delete(wayToOwner);
+	world.network.delays.delete(routeToOwner);
 	world.network.isolate('a-1', true);
 	await world.pass(1000);
 	assert.equal(first.verdict?.kind, 'mayHaveRun');
@@ -71,9 +71,9 @@
 	assert.equal(world.orders.mostAtOnce, 1);
 });
 
-// A refusal of a job's former submission is told again: taken for the end of another owner's run, it begins the task beside that.
-test('the report of an entry that does not run the task ends no run of another one', async () => {
-	const world = await worldOfOneOwner();
+// Guards against a repeated refusal that is mistaken for the end of another owner's run, so that the task starts twice.
+test('a report from an entry that does not run the task does not end another entry\'s run', async () => {
+	const world = await createWorldWithOneOwner();
 	const [requester, other] = ['a-1', 'c-1'].map(name => world.entries.get(name)!.pool);
 	world.submit('a-1', id, job);
 	await world.pass(100);
@@ -87,8 +87,8 @@
 	assert.equal(world.orders.starts.length, 1);
 });
 
-// A lost entry's run is still being stopped when the caller's next entry, refused elsewhere before, asks for another attempt of it.
-test('a request for another attempt of a task that still runs for another entry waits for that run\'s end', async () => {
+// Guards against starting another attempt of a task while a lost entry's run of it is still being stopped.
+test('a request for another attempt of a task waits for the end of another entry\'s run of it', async () => {
 	const world = new PooledWorld(['a-1', 'b-1', 'c-1'], 2);
 	await world.start();
 	const owner = world.entries.get('b-1')!.pool.self;
@@ -99,8 +99,8 @@
 	assert.equal(world.orders.mostAtOnce, 1);
 });
 
-// A caller leaves an entry whose own run of the task can't be stopped yet, and submits through another one, which asks it for that task.
-test('a request for a task that an owner still runs for itself waits for that run\'s end', async () => {
+// Guards against starting a requested task beside the owner's own run of it, which can't be stopped yet.
+test('a request for a task waits for the end of the owner\'s own run of it', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 0);
 	world.addTarget('b-target-0', 'b');
 	world.addTarget('b-target-1', 'b');
@@ -115,14 +115,14 @@
 	assert.equal(world.orders.mostAtOnce, 1);
 });
 
-// Guards against a request that is refused as outdated and then begun by its repetition, beside the next attempt.
-test('a request that was refused as outdated starts nothing when it is repeated', async () => {
-	const world = await worldOfOneOwner();
+// Guards against an outdated request that is refused at first but started when repeated, beside the next attempt.
+test('a request that was refused as outdated starts nothing when repeated', async () => {
+	const world = await createWorldWithOneOwner();
 	const [requester, owner] = ['a-1', 'b-1'].map(name => world.entries.get(name)!.pool);
-	world.network.delays.set(wayToOwner, 1500);
+	world.network.delays.set(routeToOwner, 1500);
 	requester!.send(owner!.self, {kind: 'run', request: firstTaskOfJob});
 	await world.pass(5);
-	world.network.delays.delete(wayToOwner);
+	world.network.delays.delete(routeToOwner);
 	world.network.isolate('a-1', true);
 	await world.pass(1000);
 	world.network.isolate('a-1', false);
--- a/test/entries/edge/mistaken-orders.test.ts
+++ b/test/entries/edge/mistaken-orders.test.ts
@@ -1,4 +1,4 @@
-/** Runs whose entry believes something else of them than their owner does. */
+/** Runs on whose state their requester and their owner disagree. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {MemberId} from '../../../src/base/member-id.js';
@@ -8,8 +8,8 @@
 const id = '00000000000000aa';
 const job = {payload: '5000', declared: 4000, patience: 9000};
 
-// Guards against an owner that refuses a repeated request while its run goes on, so that nobody stops it.
-test('a run whose request is repeated just after its owner was missed elsewhere goes on', async () => {
+// Guards against an owner that refuses a repeated request while the run continues, so that nobody stops it.
+test('a run continues if its request is repeated right after another entry declared its owner lost', async () => {
 	const world = new PooledWorld(['a-1', 'b-1', 'c-1', 'd-1'], 0);
 	world.addTarget('b-target', 'b');
 	await world.start();
@@ -32,8 +32,8 @@
 	assert.deepEqual([submitted.verdict, world.orders.starts.length, world.running()], [undefined, 1, [`${id}.0.0.0`]]);
 });
 
-// Guards against stops that go to a former owner, which told again of a run that it has handed over since.
-test('an owner that handed an adopted run over is not taken for its owner again', async () => {
+// Guards against stops sent to a former owner because it repeated its adoption message after handing the run over.
+test('a former owner that handed an adopted run over is not treated as its owner again', async () => {
 	const world = new PooledWorld(['a-1', 'b-1', 'b-2', 'b-3', 'b-4', 'c-1'], 0);
 	world.addTarget('b-target', 'b');
 	await world.start();
@@ -56,8 +56,8 @@
 	assert.equal(world.orders.mostAtOnce, 1);
 });
 
-// Guards against a stop whose request was lost, and whose owner runs the task for itself.
-test('a stop of another entry ends no run that an owner began for itself', async () => {
+// Guards against a stop for a lost request that ends the owner's own run of the task.
+test('a stop from another entry does not end the owner\'s own run', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 0);
 	world.addTarget('b-target-0', 'b');
 	world.addTarget('b-target-1', 'b');
--- a/test/entries/edge/near-data.test.ts
+++ b/test/entries/edge/near-data.test.ts
@@ -1,4 +1,4 @@
-/** Tasks that had better run near their data, and limits of tasks on one target. */
+/** Data locality, and limits on a job's tasks per target. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {InstanceId} from '../../../src/base/instance-id.js';
@@ -6,7 +6,7 @@
 
 const near = {nearLabel: 'rack', farFactor: 3};
 
-/** Two entries with six targets each, and as many more of a rack as are wanted. */
+/** Two entries in a zone with six targets, and the given number of additional targets in the rack. */
 async function worldWithRack(targetsInRack: number): Promise<PooledWorld> {
 	const world = new PooledWorld(['a-1', 'a-2'], 6);
 	for (let index = 0; index < targetsInRack; index += 1) {
@@ -26,17 +26,16 @@
 	return world.orders.starts.filter(({target}) => target.startsWith('near')).length;
 }
 
-// Where a job's data is had no influence on where its tasks ran: on nearly all targets they took three times as long, and
-// the answer came late.
-test('tasks run near their data while there is room', async () => {
+// Guards against placement that ignores where a job's data is.
+test('tasks run near their data while there is capacity', async () => {
 	const world = await worldWithRack(4);
 	const job = world.submit('a-1', '0000000000000001', {tasks: 6, place: near});
 	await world.pass(150);
 	assert.deepEqual([job.verdict, startedNear(world)], [{kind: 'answered', answer: 'complete'}, 6]);
 });
 
-// Far from its data the job would be late for certain, and room near it comes in time.
-test('a job that would be late far from its data waits for room near it', async () => {
+// Guards against starting a job far from its data although capacity near it becomes free in time.
+test('a job that would be late far from its data waits for capacity near it', async () => {
 	const world = await worldWithRack(1);
 	const [first, second] = [1, 2].map(index => world.submit('a-1', String(index).padStart(16, '0'), {
 		tasks: 2, payload: '60', declared: 100, place: near,
@@ -45,8 +44,8 @@
 	assert.deepEqual([first!.verdict?.kind, second!.verdict?.kind, startedNear(world)], ['answered', 'answered', 4]);
 });
 
-// Many want the same rack at once: jobs that can't be in time near their data any more run elsewhere, late, and aren't refused.
-test('a job that got no room near its data in time runs far from it', async () => {
+// Guards against refusing jobs that can no longer be on time near their data.
+test('a job that gets no capacity near its data in time runs far from it', async () => {
 	const world = await worldWithRack(1);
 	const jobs = [1, 2, 3, 4, 5, 6].map(index => world.submit('a-1', String(index).padStart(16, '0'), {tasks: 2, place: near}));
 	await world.pass(700);
@@ -54,8 +53,8 @@
 	assert.equal(world.orders.starts.length > startedNear(world), true);
 });
 
-// Its tasks take three times as long there by what its caller has said: that says nothing against the target.
-test('a task far from its data is neither taken for overdue nor learned from as slow', async () => {
+// Guards against blaming the target for the longer run times that are expected far from the data.
+test('a task far from its data is not overdue and does not make its target count as slow', async () => {
 	const world = await worldWithRack(0);
 	const job = world.submit('a-1', '0000000000000001', {payload: '200', declared: 200, place: near});
 	await world.pass(900);
@@ -63,7 +62,7 @@
 	assert.deepEqual(world.journal.named('targetOverdue'), []);
 });
 
-test('no more tasks of a job run on one target than its caller allows', async () => {
+test('a job does not exceed its limit of tasks per target', async () => {
 	const world = await worldWithRack(0);
 	world.submit('a-1', '0000000000000001', {
 		tasks: 6, payload: '300', declared: 300, place: {maxTasksPerTarget: 1},
--- a/test/entries/edge/pooled-entry-ownership.test.ts
+++ b/test/entries/edge/pooled-entry-ownership.test.ts
@@ -1,4 +1,4 @@
-/** Targets and zones that change owners among entries that share them. */
+/** Changes of target ownership between entries. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {AvailabilityZone} from '../../../src/base/availability-zone.js';
@@ -8,10 +8,10 @@
 import {PooledWorld} from '../../support/pooled-world.js';
 import {requestOf} from '../../support/run-request-of.js';
 
-/** As another entry asks for it; no target has room for a second one of its size. */
+/** A request from another entry, too large for two of them to fit on one target. */
 const firstTaskOfJob = {...requestOf('00000000000000aa.0.0.0', '3000'), need: new Resources(40_000, 64, 0)};
 
-// An entry is stopped for an upgrade while jobs run on its targets. No job may notice: the next owner goes on.
+// Guards against an upgrade that interrupts jobs: the next owner must continue their runs.
 test('a graceful leave stops no task and begins none again', async () => {
 	const world = new PooledWorld(['a-1', 'a-2', 'b-1'], 3);
 	await world.start();
@@ -26,7 +26,7 @@
 	assert.equal(world.orders.starts.length, startsBefore);
 });
 
-// A zone's only entry dies. Its targets would stand idle until it's back; an entry of another zone joins the zone's group.
+// Guards against targets that stay idle after the only entry of their zone has crashed.
 test('the targets of a zone without an entry are taken over from another zone', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
@@ -37,7 +37,7 @@
 	assert.equal(world.entries.get('b-1')!.executor.ownedTargets, 4);
 });
 
-// The store is away for minutes, as may happen. Nobody can take a target over meanwhile, so that everything goes on.
+// Guards against entries that give their targets up during a store outage.
 test('entries go on with what they own while the store is away', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
@@ -48,8 +48,7 @@
 	assert.deepEqual(job.verdict, {kind: 'answered', answer: 'complete'});
 });
 
-// A zone is cut off from the others, not from the store. Its targets are out of the others' reach: an entry that covered
-// the zone would take targets from those that reach them, and when the cut heals tasks are stopped and jobs hang.
+// Guards against covering a zone that is partitioned from the others but not from the store, where its owners still reach its targets.
 test('a zone that is only cut off keeps all of its targets', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
@@ -59,8 +58,8 @@
 	assert.deepEqual(['a-1', 'b-1'].map(name => world.entries.get(name)!.executor.ownedTargets), [2, 2]);
 });
 
-// A zone is cut off from the others and from the store, so that its entries' places in their group lapse. Covered from
-// another zone, its targets would meet a newer owner when the cut heals, and everything on them would end.
+// Guards against covering a zone that is partitioned from the others and from the store, so that its group memberships expire: the
+// new owners would end all of its runs when the partition heals.
 test('a zone whose targets can\'t be reached is not covered, though its group is empty', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
@@ -74,11 +73,7 @@
 	assert.equal(world.entries.get('b-1')!.executor.ownedTargets, 2);
 });
 
-// An owner gives its targets up and its word of them is lost on the way, as when a cut heals at that moment. Nobody renews
-// the runs' lease any more and nobody tells their jobs, which would wait until their callers give up.
-// An entry leaves, and its word to the entry of a job comes late. The next owner has adopted the job's run and said so before.
-// Taken as a new handover, the late word had the run counted as ended with its lease while the next owner went on with it: the
-// task was begun a second time beside itself.
+// Guards against a delayed handover message that arrives after the adoption and makes the requester start the task a second time.
 test('the former owner\'s word that comes after the next owner\'s starts no task again', async () => {
 	const world = new PooledWorld(['a-1', 'b-1', 'b-2'], 2);
 	await world.start();
@@ -95,8 +90,7 @@
 	});
 });
 
-// In a large fleet the next owner of a target keeps no connection to the entry whose task runs there. It stopped the run, since
-// it couldn't tell that entry, and a second's work was thrown away with each machine that was restarted.
+// Guards against a new owner that stops an adopted run because it has no connection to the requester yet.
 test('a run goes on under a next owner that had no connection to the run\'s entry', async () => {
 	const names = Array.from({length: 24}, (_, index) => `z${index % 3}-${Math.floor(index / 3)}`);
 	const world = new PooledWorld(names, 8);
@@ -116,6 +110,7 @@
 	assert.deepEqual({starts: world.orders.starts.length, mostAtOnce: world.orders.mostAtOnce}, {starts: startsBefore, mostAtOnce: 1});
 });
 
+// Guards against jobs that wait for runs whose handover message was lost and whose lease nobody renews.
 test('runs that were handed over to nobody are begun again once their lease has passed', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
@@ -135,8 +130,7 @@
 	assert.equal(world.orders.mostAtOnce, 1);
 });
 
-// An owner gives up a target whose run belongs to an entry that the next owner doesn't hear. Kept alive there, the run would go
-// on beside the next attempt, which its entry begins elsewhere since nobody tells it of the adoption.
+// Guards against an adopted run that continues beside the next attempt because its requester can't be told of the adoption.
 test('a run that was adopted for an entry that is not heard is stopped', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 1);
 	await world.start();
@@ -151,8 +145,7 @@
 	assert.deepEqual(world.journal.named('runStopped').map(({cause}) => cause), ['requester not reachable']);
 });
 
-// Operators empty a zone before work on its power supply. Its targets went on getting tasks, which would have gone down with it;
-// its entries still serve their callers, on the targets of the other zones.
+// Guards against placing tasks in a zone that operators are evacuating. Its entries still serve callers, on other zones' targets.
 test('the targets of an evacuated zone get nothing new and finish what they have, until it is taken back', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	const zone = 'a' as AvailabilityZone;
--- a/test/entries/edge/pooled-entry-resubmission.test.ts
+++ b/test/entries/edge/pooled-entry-resubmission.test.ts
@@ -1,4 +1,4 @@
-/** Jobs that are submitted again while something of them still runs. */
+/** Jobs that are resubmitted while their former runs are still active. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {Resources} from '../../../src/base/resources.js';
@@ -6,12 +6,10 @@
 import {PooledWorld} from '../../support/pooled-world.js';
 import {requestOf} from '../../support/run-request-of.js';
 
-/** As another entry asks for it; no target has room for a second one of its size. */
+/** A request from another entry, too large for two of them to fit on one target. */
 const firstTaskOfJob = {...requestOf('00000000000000aa.0.0.0', '3000'), need: new Resources(40_000, 64, 0)};
 
-// A caller hangs up and submits its job again to the same entry, while its first run can't be stopped since its target
-// loses the answers. The end of the first run is reported a second later under the same task and attempt: taken for the end
-// of the second run, it would begin a third one beside it.
+// Guards against a late report of the former run, which has the same task and attempt and is mistaken for the end of the new run.
 test('a job that is submitted again waits for the end of its former runs, and no task runs twice at a time', async () => {
 	const world = new PooledWorld(['a-1'], 4);
 	await world.start();
@@ -33,8 +31,7 @@
 	assert.equal(world.running().length, 2);
 });
 
-// A connection goes silent, and the caller submits its job again to the same entry, which doesn't know of the loss and still
-// runs it. Its tasks would run a second time while those of the first submission are being stopped.
+// Guards against running a job twice when its caller reconnects before the entry has noticed the lost connection.
 test('a job that is submitted again while it runs goes on, and its latest submitter gets the answer', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
@@ -49,9 +46,7 @@
 	assert.equal(world.orders.starts.length, 6);
 });
 
-// A caller lost the connection to one entry and submits again through another one, whose request names the same task and
-// attempt while the first run is still being stopped: taken for a repeated request of the first entry, it would never be
-// answered, and the job would be held until its caller gives up.
+// Guards against a request that is mistaken for a repetition of another entry's request for the same task, and never answered.
 test('a request for a task that still runs for another entry is answered once that run has ended', async () => {
 	const world = new PooledWorld(['a-1', 'b-1', 'c-1'], 2);
 	await world.start();
@@ -77,8 +72,7 @@
 	assert.deepEqual([reports, world.running()], [['superseded'], []]);
 });
 
-// As above, but the caller submits again through the entry that runs the task for the first one: it must not begin the task
-// on another of its own targets meanwhile.
+// Guards against an owner that starts a resubmitted task on another target while it still runs the task for another entry.
 test('an entry that still runs a task for another one does not begin it for itself', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
@@ -96,9 +90,7 @@
 	assert.deepEqual([world.orders.mostAtOnce, world.running()], [1, ['00000000000000aa.0.0.0']]);
 });
 
-// An entry stands still for three seconds, is taken as lost, and what it had asked for is stopped; the caller submits its job
-// again elsewhere. As the entry goes on it finds its connection broken and repeats its requests on a new one: taken for new ones,
-// by an owner that had forgotten them, they began the task beside the caller's present run of it.
+// Guards against starting the repeated requests of an entry that was paused, declared lost, and has resumed.
 test('a request that is repeated by an entry that stood still starts nothing', async () => {
 	const world = new PooledWorld(['a-1', 'b-1', 'c-1'], 4);
 	await world.start();
@@ -119,7 +111,7 @@
 	assert.equal(world.orders.starts.filter(({task}) => task === firstTaskOfJob.task).length, 2);
 });
 
-// Guards against a request that an entry repeats after standing still for longer than its owner remembers requests.
+// Guards against a request that an entry repeats after a pause longer than its owner remembers requests.
 test('a request that is repeated after its owner has forgotten it starts nothing', async () => {
 	const world = new PooledWorld(['a-1', 'b-1', 'c-1'], 4);
 	await world.start();
@@ -139,8 +131,7 @@
 	assert.equal(world.orders.starts.filter(({task}) => task === firstTaskOfJob.task).length, 2);
 });
 
-// An entry that finds a connection made anew tells again what its peer may have missed. Told again of all that is remembered, a
-// peer would be sent half a minute of ends each time; one of them could be taken for the end of a later submission's run.
+// Guards against repeating all remembered reports on a new connection, where one could be mistaken for the end of a later run.
 test('only what may have been missed is told again on a new connection', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 4);
 	await world.start();
--- a/test/entries/edge/pooled-entry.test.ts
+++ b/test/entries/edge/pooled-entry.test.ts
@@ -1,4 +1,4 @@
-/** Entries that share their targets, under faults. */
+/** Entries that share their targets, under load and faults. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {InstanceId} from '../../../src/base/instance-id.js';
@@ -22,7 +22,7 @@
 	assert.equal(world.orders.starts.length, 3);
 });
 
-// A caller hangs up. Nobody waits for its tasks any more, here and on other entries' targets: they have to end.
+// Guards against tasks that keep running, also on other entries' targets, after their caller has disconnected.
 test('the tasks of a caller that is gone are stopped everywhere', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
@@ -35,8 +35,7 @@
 	assert.equal(job.verdict?.kind, 'mayHaveRun');
 });
 
-// An entry dies with tasks on another entry's targets. Its caller submits the job again elsewhere 1300 ms later, and the
-// same task would run twice at once if the first run went on.
+// Guards against runs of a crashed entry that are still active when its caller resubmits the job after 1300 ms.
 test('the tasks of an entry that died have ended before its callers submit them again', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
@@ -54,7 +53,7 @@
 	assert.equal(world.orders.mostAtOnce, 1);
 });
 
-// As above, but the entry is cut off from the others and lives on: nobody sees its port refuse, only its silence.
+// Guards against the same failure when the entry is only partitioned, so that silence is the only sign of its loss.
 test('the tasks of an entry that is cut off have ended before its callers submit them again', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
@@ -68,8 +67,7 @@
 	assert.deepEqual(world.running(), []);
 });
 
-// Another entry can't be heard, but hears this one: it goes on with this one's tasks, since it hears heartbeats. This one
-// gives their job up, and the caller submits it again: the other must be told to stop.
+// Guards against an owner that keeps running tasks of a requester that it hears but that does not hear it.
 test('an owner that cannot be heard is told to stop what it runs', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
@@ -83,7 +81,7 @@
 	assert.deepEqual(world.running(), []);
 });
 
-// There is no room and won't be in time. The caller is told at once that the job did not run, and when to come back.
+// Guards against holding a job for which no capacity becomes free in time.
 test('a job that can\'t begin in time is refused as not run', async () => {
 	const world = new PooledWorld(['a-1'], 1);
 	await world.start();
@@ -110,8 +108,7 @@
 	assert.deepEqual(world.orders.starts.map(({target}) => target), ['a-target-0' as InstanceId]);
 });
 
-// A target stands still: it answers, and lists its tasks as running for ever. Their jobs would be held to their end. The
-// tasks are stopped once they're far over what they were expected to take, and begun elsewhere.
+// Guards against a stalled target that answers but never finishes its tasks.
 test('tasks on a target that stands still are begun elsewhere', async () => {
 	const world = new PooledWorld(['a-1'], 3);
 	await world.start();
@@ -122,7 +119,7 @@
 	assert.equal(world.orders.mostAtOnce, 1);
 });
 
-// A target works slowly, as if it shared its machine. One long task says little; several at a time say that it's the target.
+// Guards against placing further tasks on a target that is much slower than the others.
 test('a target on which several tasks are overdue gets no new ones for a while, and is tried again', async () => {
 	const world = new PooledWorld(['a-1'], 3);
 	await world.start();
@@ -146,7 +143,7 @@
 	assert.equal(world.orders.starts.filter(({target}) => target === 'a-target-0').length > before, true);
 });
 
-// Another entry was cut off a moment ago. What is sent to it would come back only when it's taken as lost.
+// Guards against sending tasks to an unreachable entry that has not been declared lost yet.
 test('nothing is sent to an entry that missed its heartbeats', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 1);
 	await world.start();
@@ -157,8 +154,7 @@
 	assert.deepEqual(job.verdict, {kind: 'answered', answer: 'complete'});
 });
 
-// Some of a target's answers are lost for a while. Its runs seem to go on, since their ends aren't heard of; a target that
-// is sound must not be taken out for that, or a few lost answers stop all work.
+// Guards against ejecting a healthy target because the reports of its finished runs were lost.
 test('a target whose answers are lost is not taken for a slow one', async () => {
 	const world = new PooledWorld(['a-1'], 1);
 	await world.start();
@@ -173,9 +169,7 @@
 	assert.equal(world.orders.starts.length, 2);
 });
 
-// A few jobs that can never be done are handed in, each of several tasks with three attempts. Their failures, one after the
-// other on sound targets, look like those of targets that fail everything: the targets are taken out for seconds, and jobs
-// that could be done are refused for want of room.
+// Guards against ejecting healthy targets because of the failures of jobs that fail everywhere.
 test('a job that can never be done takes no sound target out', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
@@ -193,8 +187,7 @@
 	assert.deepEqual(world.journal.named('targetEjected'), []);
 });
 
-// A caller waited until it gave up: in the middle of its job one of the targets went down and was back under its id at once,
-// without the task. Its entry knows that task to be gone with the target's first report, and begins it again.
+// Guards against waiting for a task that was lost when its target restarted under the same id.
 test('a job on a target that starts again under its id is answered in time', async () => {
 	const world = new PooledWorld(['a-1'], 2);
 	await world.start();
@@ -206,8 +199,7 @@
 	assert.deepEqual([world.orders.starts.length, world.orders.mostAtOnce], [2, 1]);
 });
 
-// All entries are killed and start again. In the half second before their targets are theirs callers come, and were refused as
-// in an overload, since no target had room in time; then the targets stood free. Their answers are late now, but they come.
+// Guards against refusing jobs as if overloaded while a restarted entry has not acquired its targets yet.
 test('a job that comes before any target is known is answered late, not refused', async () => {
 	const world = new PooledWorld(['a-1'], 4);
 	const early = world.submit('a-1', '0000000000000001', {tasks: 2, payload: '60', declared: 60});
--- a/test/entries/edge/standing-still-owner.test.ts
+++ b/test/entries/edge/standing-still-owner.test.ts
@@ -1,4 +1,4 @@
-/** An owner of targets that stands still while the entries that asked for runs there are lost, or lose it. */
+/** Owners that are paused while requesters are lost, or declare them lost. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {PooledWorld} from '../../support/pooled-world.js';
@@ -6,15 +6,15 @@
 const id = '00000000000000aa';
 const job = {payload: '5000', declared: 2000, patience: 4000};
 
-// A request waits in a frozen owner's socket. Its entry takes the owner as lost, and the caller submits elsewhere before it's read.
-test('an owner that was frozen starts nothing that was asked for before it was taken as lost', async () => {
+// Guards against a request that a frozen owner reads after its requester has declared the owner lost and the caller has resubmitted.
+test('a resumed owner that was frozen starts no request from before it was declared lost', async () => {
 	const world = new PooledWorld(['a-1', 'b-1', 'c-1'], 0);
 	world.addTarget('b-target', 'b');
 	await world.start();
 	world.pause('b-1', 'frozen');
 	const first = world.submit('a-1', id, job);
 	await world.pass(20);
-	// The stop comes on another connection, behind its handshake.
+	// The stop arrives later, since it is sent on a new connection.
 	world.network.delays.set('a-1#1>b-1#1', 1700);
 	await world.pass(1000);
 	assert.equal(first.verdict?.kind, 'mayHaveRun');
@@ -28,8 +28,8 @@
 	assert.equal(world.orders.mostAtOnce, 1);
 });
 
-// A suspended owner doesn't count that time towards a dead entry's silence: it stops the run only when it runs elsewhere again.
-test('an owner that was suspended for less than a lease has stopped a dead entry\'s run when its caller submits again', async () => {
+// Guards against a resumed owner that ignores the suspension when it measures a dead requester's silence, and stops the run too late.
+test('an owner that was suspended for less than a lease stops a crashed entry\'s run before the caller resubmits', async () => {
 	const world = new PooledWorld(['a-1', 'b-1', 'c-1'], 0);
 	world.addTarget('b-target', 'b');
 	await world.start();
@@ -48,8 +48,8 @@
 	assert.equal(world.orders.mostAtOnce, 1);
 });
 
-// As above, but the request comes on the former connection some time after the owner goes on, by whose clock nobody was lost.
-test('an owner that was suspended starts nothing that comes late from an entry that took it as lost', async () => {
+// Guards against a request that is delayed beyond the owner's suspension, by whose clock no entry was lost.
+test('a resumed owner that was suspended starts no delayed request from an entry that declared it lost', async () => {
 	const world = new PooledWorld(['a-1', 'b-1', 'c-1'], 0);
 	world.addTarget('b-target', 'b');
 	await world.start();
--- a/test/entries/edge/standing-still-requester.test.ts
+++ b/test/entries/edge/standing-still-requester.test.ts
@@ -1,4 +1,4 @@
-/** Jobs of an entry that stands still until their callers have submitted them again elsewhere. */
+/** Jobs of an entry that is paused until their callers have resubmitted them elsewhere. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {PooledWorld} from '../../support/pooled-world.js';
@@ -7,8 +7,8 @@
 const job = {payload: '5000', declared: 2000, patience: 2000};
 
 for (const kind of ['suspended', 'frozen'] as const) {
-	// A task that only waits for room is begun by the woken entry, on room that it reads of, before its caller's hang-up is handled.
-	test(`a ${kind} entry that goes on begins no waiting task whose caller submitted elsewhere`, async () => {
+	// Guards against a resumed entry that starts a waiting task before it has handled its caller's disconnect.
+	test(`a resumed entry that was ${kind} starts no waiting task whose caller resubmitted elsewhere`, async () => {
 		const world = new PooledWorld(['a-1', 'b-1', 'c-1'], 0);
 		world.addTarget('b-target', 'b');
 		await world.start();
@@ -32,8 +32,8 @@
 		assert.equal(world.orders.mostAtOnce, 1);
 	});
 
-	// The owner has stopped a lost entry's run and says so: the woken entry begins the next attempt beside the caller's present run.
-	test(`a ${kind} entry that goes on begins no further attempt of a task that was stopped since it was lost`, async () => {
+	// Guards against a resumed entry that answers the report of a stopped run with another attempt, beside the caller's new run.
+	test(`a resumed entry that was ${kind} starts no further attempt of a task that was stopped because the entry was lost`, async () => {
 		const world = new PooledWorld(['a-1', 'b-1', 'c-1'], 0);
 		world.addTarget('b-target-0', 'b');
 		world.addTarget('b-target-1', 'b');
@@ -56,8 +56,8 @@
 	});
 }
 
-// A clock that is set looks like a suspension: jobs given up for that would be lost with every correction of the time of day.
-test('a time of day that is set forward ends no job and begins no task again', async () => {
+// Guards against mistaking a change of the wall clock for a suspension and giving up jobs.
+test('setting the wall clock forward ends no job and restarts no task', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
 	const submitted = world.submit('a-1', id, {tasks: 4, payload: '600', declared: 600});
@@ -68,8 +68,8 @@
 });
 
 for (const kind of ['suspended', 'frozen'] as const) {
-	// Entries stand still for a moment all the time: jobs that were given up for that would be lost on every busy machine.
-	test(`an entry that was ${kind} too briefly to be lost goes on with its jobs`, async () => {
+	// Guards against giving up jobs after short pauses, which are common on busy instances.
+	test(`an entry that was ${kind} too briefly to be declared lost continues its jobs`, async () => {
 		const world = new PooledWorld(['a-1', 'b-1'], 2);
 		await world.start();
 		const submitted = world.submit('a-1', id, {tasks: 4, payload: '900', declared: 900});
--- a/test/entries/edge/standing-still-room.test.ts
+++ b/test/entries/edge/standing-still-room.test.ts
@@ -1,4 +1,4 @@
-/** What an entry makes of its own targets just after it stood still. */
+/** Use of an entry's own targets right after a pause. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {PooledWorld} from '../../support/pooled-world.js';
@@ -7,7 +7,7 @@
 const objectiveMilliseconds = 220;
 
 for (const kind of ['suspended', 'frozen'] as const) {
-	// Its idle targets refuse each start as late until the renewal that they hold is answered: a short job is late for certain.
+	// Guards against starts that idle targets reject as outdated until their leases have been renewed, which delays short jobs.
 	test(`an entry that was ${kind} serves a short job on its idle targets in time`, async () => {
 		const world = new PooledWorld(['a-1'], 4);
 		await world.start();
--- a/test/entries/edge/standing-still.test.ts
+++ b/test/entries/edge/standing-still.test.ts
@@ -1,4 +1,4 @@
-/** Entries that stand still, under drawn schedules of faults. */
+/** Property test of paused entries under random fault schedules, with regression tests of its findings. */
 import assert from 'node:assert/strict';
 import process from 'node:process';
 import {test} from 'node:test';
@@ -12,11 +12,11 @@
 
 const seed = Number(process.env.PROPERTY_SEED ?? 20_261_203);
 const runs = Number(process.env.PROPERTY_RUNS ?? 12);
-/** By hand also beyond what owners remember. */
+/** Can be set higher than the time for which owners remember requests. */
 const longestPauseMilliseconds = Number(process.env.PROPERTY_PAUSE ?? 9000);
 
-// Guards against entries that stood still and then order what they had ordered before, or what others run meanwhile.
-test('no task runs twice at the same time, whichever entries stand still', async () => {
+// Guards against resumed entries that repeat their earlier requests, or start tasks that others run by now.
+test('no task runs twice at the same time, whichever entries are paused', async () => {
 	await fc.assert(fc.asyncProperty(standingPlanArbitrary(longestPauseMilliseconds), async plan => {
 		const play = new StandingPlay(plan);
 		await play.play();
@@ -24,8 +24,8 @@
 	}), {seed, numRuns: runs, endOnFailure: process.env.PROPERTY_SHRINK === '0'});
 });
 
-// Guards against a request and its stop, read together by an owner that stood still, that begin the task beside the caller's next submission.
-test('a request that waited while its owner stood still begins nothing beside the next submission', async () => {
+// Guards against a resumed owner that reads a request together with its stop and starts the task beside the caller's next submission.
+test('a request that waited while its owner was paused starts nothing beside the next submission', async () => {
 	const world = new PausableWorld(['a-1', 'b-1', 'c-1'], 4);
 	const {pooled} = world;
 	await pooled.start();
@@ -48,8 +48,8 @@
 	assert.equal(pooled.orders.mostAtOnce, 1);
 });
 
-// Guards against a report that is told again on a new connection and taken for that of a request that went to another owner since.
-test('a former owner\'s repeated report says nothing of a request that another owner has', async () => {
+// Guards against a repeated report on a new connection that is attributed to a later request to another owner.
+test('a former owner\'s repeated report does not affect a request to another owner', async () => {
 	const world = new PooledWorld(['a-1', 'b-1', 'c-1'], 4);
 	await world.start();
 	const {pool} = world.entries.get('a-1')!;
