--- a/src/entries/edge/main.ts
+++ b/src/entries/edge/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The edge daemon, `savorylock-edge [METRICS-PORT] [--advertised-peers IP:PORT]`. Exit codes: 0 stopped, 2 bad settings.
+ * The edge daemon, `savorylock-edge [METRICS-PORT] [--advertised-peers IP:PORT]`. Exit codes: 0 stopped, 2 invalid settings.
  * Peers connect to the advertised address if one is given (as behind a relay), otherwise to the listening address.
  */
 import './early-signals.js';
--- a/test/entries/edge/pooled-entry-ownership.test.ts
+++ b/test/entries/edge/pooled-entry-ownership.test.ts
@@ -12,7 +12,7 @@
 const firstTaskOfJob = {...requestOf('00000000000000aa.0.0.0', '3000'), need: new Resources(40_000, 64, 0)};
 
 // Guards against an upgrade that interrupts jobs: the next owner must continue their runs.
-test('a graceful leave stops no task and begins none again', async () => {
+test('a graceful leave stops and restarts no task', async () => {
 	const world = new PooledWorld(['a-1', 'a-2', 'b-1'], 3);
 	await world.start();
 	const jobs = ['a-1', 'a-2', 'b-1'].map((entry, index) => world.submit(entry, `00000000000000a${index}`, {
--- a/test/entries/edge/pooled-entry.test.ts
+++ b/test/entries/edge/pooled-entry.test.ts
@@ -4,7 +4,7 @@
 import type {InstanceId} from '../../../src/base/instance-id.js';
 import {PooledWorld} from '../../support/pooled-world.js';
 
-test('a job wider than its entry\'s own targets runs on those of all entries at once', async () => {
+test('a job that exceeds the capacity of its entry\'s own targets runs on those of all entries at once', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
 	const job = world.submit('a-1', '00000000000000aa', {tasks: 8, payload: '200'});
@@ -170,7 +170,7 @@
 });
 
 // Guards against ejecting healthy targets because of the failures of jobs that fail everywhere.
-test('a job that can never be done takes no sound target out', async () => {
+test('a job that always fails does not get healthy targets ejected', async () => {
 	const world = new PooledWorld(['a-1', 'b-1'], 2);
 	await world.start();
 	for (let job = 0; job < 10; job += 1) {
@@ -209,7 +209,7 @@
 	assert.deepEqual(early.verdict, {kind: 'answered', answer: 'complete'});
 });
 
-test('once targets are known, a job that finds no room in time is refused at the last moment to begin it', async () => {
+test('once targets are known, a job without capacity in time is refused at the latest time to start it', async () => {
 	const world = new PooledWorld(['a-1'], 1);
 	await world.start();
 	world.submit('a-1', '0000000000000001', {
