--- a/src/entries/command/read-profile.ts
+++ b/src/entries/command/read-profile.ts
@@ -5,7 +5,7 @@
 import {formatProblem} from '../../runtime/settings/format-problem.js';
 import {parseDocument} from '../../runtime/settings/parse-document.js';
 
-/** Rejects with a line for each mistake. */
+/** Throws an error with one line for each validation problem. */
 export function readProfile(file: string): Profile {
 	const document = parseDocument(readFileSync(file, 'utf8'), profileSchema);
 	if (document.kind === 'invalid') {
