--- a/test/runtime/peers/tcp-peer-network.test.ts
+++ b/test/runtime/peers/tcp-peer-network.test.ts
@@ -13,7 +13,7 @@
 import {TcpPeerNetwork} from '../../../src/runtime/peers/tcp-peer-network.js';
 import {TcpTransport} from '../../../src/runtime/peers/tcp-transport.js';
 import {TlsTransport} from '../../../src/runtime/peers/tls-transport.js';
-import {Relay} from '../../../standins/relay.js';
+import {FaultProxy} from '../../../standins/fault-proxy.js';
 import {RecordingJournal} from '../../support/recording-journal.js';
 
 async function startNetwork(instance: string, key = 'a shared key for tests', transport: PeerTransport = new TcpTransport()) {
@@ -170,17 +170,17 @@
 test('a connection whose handshake gets no response is redialled', {timeout: 20_000}, async () => {
 	const left = await startNetwork('entry-1');
 	const right = await startNetwork('entry-2');
-	const relay = new Relay(false, false);
+	const relay = new FaultProxy(false, false);
 	after(() => {
 		relay.close();
 	});
-	relay.leadTo(right.network.self.peerAddress);
+	relay.forwardTo(right.network.self.peerAddress);
 	const address = await relay.listen();
-	relay.cut(() => true);
+	relay.partition(() => true);
 	left.network.monitor(new Set([address]));
 	await wait(300);
-	relay.loseOpen();
-	relay.cut(() => false);
+	relay.blackholeOpenConnections();
+	relay.partition(() => false);
 	let discovered = 0;
 	left.network.onDidDiscover(() => {
 		discovered += 1;
--- a/test/runtime/stream/http-log-stream.test.ts
+++ b/test/runtime/stream/http-log-stream.test.ts
@@ -28,17 +28,17 @@
 	await stream.append('two', neverCancelled);
 	const reading = await waiting;
 	assert.deepEqual(reading.kind === 'page' && reading.page, {records: [{offset: 1, body: 'two'}], firstOffset: 0, nextOffset: 2});
-	service.fail({isDown: true});
+	service.injectFault({isDown: true});
 	const down = await stream.read(first, 0, neverCancelled);
 	const refused = await stream.append('three', neverCancelled);
 	assert.deepEqual([down.kind, refused.kind], ['unavailable', 'notAppended']);
-	service.fail({isDown: false});
+	service.injectFault({isDown: false});
 });
 
 test('the result of an append is unknown after a lost response, and a read resolves it', async () => {
 	// Guards against reporting a definite result for a change that may or may not have been appended.
 	const stream = await openStream();
-	service.fail({lostReplies: 1});
+	service.injectFault({lostReplies: 1});
 	const appended = await stream.append('resolved', neverCancelled);
 	const reading = await stream.read(first, 0, neverCancelled);
 	assert.equal(appended.kind, 'unknown');
--- a/test/runtime/targets/http-target-driver.test.ts
+++ b/test/runtime/targets/http-target-driver.test.ts
@@ -42,9 +42,9 @@
 	const {server, target} = await startTarget();
 	matchSnapshot('result', withoutRunTime(await driver.run(target, createRequest({runMilliseconds: 1, echo: 'seat 4 free'}), neverCancelled)));
 	matchSnapshot('failure', withoutRunTime(await driver.run(target, createRequest({runMilliseconds: 1, fails: true}, 2000, 'job/1'), neverCancelled)));
-	server.behave({mode: 'refusing'});
+	server.setBehaviour({mode: 'refusing'});
 	matchSnapshot('refusal', await driver.run(target, createRequest({}, 2000, 'job/2'), neverCancelled));
-	assert.deepEqual([server.truth.starts, server.truth.doubleStarts], [2, 0]);
+	assert.deepEqual([server.counters.starts, server.counters.doubleStarts], [2, 0]);
 });
 
 test('a refused connection means that the task did not run', async () => {
@@ -58,26 +58,26 @@
 	// Guards against reporting "not run" after the request was written, which would allow a second start.
 	const {server, target} = await startTarget();
 	const running = driver.run(target, createRequest({runMilliseconds: 1500}), neverCancelled);
-	while (server.truth.starts === 0) {
+	while (server.counters.starts === 0) {
 		await wait(1);
 	}
 
 	server.kill();
 	const verdict = await running;
 	assert.deepEqual([verdict.kind, verdict.kind === 'mayHaveRun' && verdict.cause], ['mayHaveRun', 'connectionLost']);
-	assert.equal(server.truth.starts, 1);
+	assert.equal(server.counters.starts, 1);
 });
 
 test('a response for another task is discarded', async () => {
 	// Guards against delivering a response that a proxy mixed up with another task's.
 	const {server, target} = await startTarget();
-	server.behave({mode: 'crossed'});
+	server.setBehaviour({mode: 'crossed'});
 	matchSnapshot('crossed', await driver.run(target, createRequest({runMilliseconds: 1}), neverCancelled));
 });
 
 test('a truncated response is not delivered', async () => {
 	const {server, target} = await startTarget();
-	server.behave({mode: 'half'});
+	server.setBehaviour({mode: 'half'});
 	const verdict = await driver.run(target, createRequest({runMilliseconds: 1, echo: 'a long enough answer to cut'}), neverCancelled);
 	assert.deepEqual([verdict.kind, verdict.kind === 'mayHaveRun' && verdict.cause], ['mayHaveRun', 'connectionLost']);
 });
@@ -104,7 +104,7 @@
 test('an unresponsive target gives "may have run" at the time limit of the task', async () => {
 	// Guards against waiting longer than the task's limit on an open connection.
 	const {server, target} = await startTarget();
-	server.behave({mode: 'silent'});
+	server.setBehaviour({mode: 'silent'});
 	matchSnapshot('silent', await driver.run(target, createRequest({runMilliseconds: 1}, 50), neverCancelled));
 });
 
@@ -112,12 +112,12 @@
 	const {server, target} = await startTarget();
 	const source = new CancellationSource();
 	const running = driver.run(target, createRequest({runMilliseconds: 1500}), source.token);
-	while (server.truth.starts === 0) {
+	while (server.counters.starts === 0) {
 		await wait(1);
 	}
 
 	source.cancel();
 	matchSnapshot('cancelled', await running);
 	assert.deepEqual(await driver.usage(target), {running: [], lagMilliseconds: 0});
-	assert.equal(server.truth.stopped, 1);
+	assert.equal(server.counters.stopped, 1);
 });
