--- a/test/runtime/pause-detector.test.ts
+++ b/test/runtime/pause-detector.test.ts
@@ -28,7 +28,7 @@
 		pauses.push(milliseconds);
 	});
 	clock.advance(1000);
-	clock.jumpWall(6000);
+	clock.advanceWallTime(6000);
 	clock.advance(100);
 	assert.deepEqual(pauses, [6100]);
 });
@@ -44,7 +44,7 @@
 	};
 
 	await read('before');
-	clock.jumpWall(3000);
+	clock.advanceWallTime(3000);
 	const reading = read('after');
 	await Promise.resolve();
 	assert.deepEqual(resumed, ['before']);
@@ -67,7 +67,7 @@
 	const clock = new FakeClock();
 	const detector = new PauseDetector(clock);
 	const confirmedPauses = confirmedPausesOf(detector);
-	clock.jumpWall(5000);
+	clock.advanceWallTime(5000);
 	detector.check();
 	assert.deepEqual(confirmedPauses, []);
 	clock.sleep(4000);
--- a/test/runtime/settings/parse-document.test.ts
+++ b/test/runtime/settings/parse-document.test.ts
@@ -3,9 +3,9 @@
 import {entrySettingsSchema} from '../../../src/runtime/settings/entry-settings.js';
 import {formatProblem} from '../../../src/runtime/settings/format-problem.js';
 import {parseDocument} from '../../../src/runtime/settings/parse-document.js';
-import {snapshotsOf} from '../../support/snapshots.js';
+import {createSnapshotMatcher} from '../../support/create-snapshot-matcher.js';
 
-const matchSnapshot = snapshotsOf(import.meta.url);
+const matchSnapshot = createSnapshotMatcher(import.meta.url);
 
 const valid = `[entry]
 instance = "entry-1"
