--- a/src/entries/edge/pooled-entry.ts
+++ b/src/entries/edge/pooled-entry.ts
@@ -15,7 +15,7 @@
 import type {PartitionGroup} from '../../features/ownership/partition-group.js';
 import {MeanRunTimes} from '../../features/placement/mean-run-times.js';
 import {TargetHealth} from '../../features/placement/target-health.js';
-import type {NodeState} from '../../features/pool/node-state.js';
+import type {EntryState} from '../../features/pool/entry-state.js';
 import {Pool} from '../../features/pool/pool.js';
 import {RemoteRuns} from '../../features/pool/remote-runs.js';
 import {zonesToCover} from '../../features/pool/zone-cover.js';
@@ -170,7 +170,7 @@
 		}
 	}
 
-	#nodeState(): NodeState {
+	#nodeState(): EntryState {
 		return {
 			isLeaving: this.#isLeaving, routingVersion: this.parts.routing.version, demand: this.dispatcher.jobs.minimumNeeds, freeCapacity: this.executor.freeCapacity,
 		};
--- a/src/features/pool/decode-messages.ts
+++ b/src/features/pool/decode-messages.ts
@@ -12,7 +12,7 @@
 import type {PlacementConstraints} from '../execution/placement-constraints.js';
 import type {TargetLoss} from '../execution/target-loss.js';
 import type {RunRequest} from '../execution/run-request.js';
-import type {NodeState} from './node-state.js';
+import type {EntryState} from './entry-state.js';
 import {EncodedValues} from './encoded-values.js';
 import {messageCode} from './message-code.js';
 import {absentNumber} from './absent-number.js';
@@ -142,7 +142,7 @@
 	return value === absentNumber ? undefined : value;
 }
 
-function decodeState(values: EncodedValues): NodeState {
+function decodeState(values: EncodedValues): EntryState {
 	return {
 		isLeaving: values.flag(),
 		routingVersion: values.number(),
--- a/src/features/pool/encode-messages.ts
+++ b/src/features/pool/encode-messages.ts
@@ -3,7 +3,7 @@
 import type {Resources} from '../../base/resources.js';
 import type {RunOutcome} from '../execution/run-outcome.js';
 import type {RunRequest} from '../execution/run-request.js';
-import type {NodeState} from './node-state.js';
+import type {EntryState} from './entry-state.js';
 import {messageCode} from './message-code.js';
 import {absentNumber} from './absent-number.js';
 import type {PoolMessage} from './pool-message.js';
@@ -49,7 +49,7 @@
 		.exhaustive();
 }
 
-function encodeState({isLeaving, routingVersion, demand, freeCapacity}: NodeState): Encoded {
+function encodeState({isLeaving, routingVersion, demand, freeCapacity}: EntryState): Encoded {
 	return [
 		isLeaving,
 		routingVersion,
--- a/src/features/pool/node-state.ts
+++ b/src/features/pool/entry-state.ts
@@ -3,7 +3,7 @@
 import type {CapacityDemand} from '../execution/capacity-demand.js';
 
 /** Sent to all peers periodically, as the heartbeat. */
-export type NodeState = {
+export type EntryState = {
 	readonly isLeaving: boolean;
 	readonly routingVersion: number;
 	/** The minimum needs of the waiting tasks; empty if none waits. */
--- a/src/features/pool/pool-connections.ts
+++ b/src/features/pool/pool-connections.ts
@@ -12,7 +12,7 @@
 /** Interval of the checks for unresponsive neighbours when nothing else has changed: half of the dial timeout. */
 const refreshMilliseconds = 500;
 /** Peers of its zone that monitor a node: one may be lost together with it, and one may be slow. */
-const monitorsPerNode = 3;
+const monitorsPerEntry = 3;
 
 /** Dependencies of the connections. */
 type PoolConnectionsParts = {
@@ -105,7 +105,7 @@
 	#chooseMonitors(): void {
 		const {self} = this.parts.network;
 		const zoneMembers = [...this.parts.members()].filter(({member}) => member.zone === self.zone);
-		const monitors = new Set(rankByKey(self.peerAddress, zoneMembers, ({member}) => member.peerAddress).slice(0, monitorsPerNode));
+		const monitors = new Set(rankByKey(self.peerAddress, zoneMembers, ({member}) => member.peerAddress).slice(0, monitorsPerEntry));
 		for (const known of zoneMembers) {
 			const isMonitor = monitors.has(known);
 			if (isMonitor !== known.isMonitor) {
--- a/src/features/pool/pool-message.ts
+++ b/src/features/pool/pool-message.ts
@@ -8,14 +8,14 @@
 import type {ListUpdate} from '../listing/list-update.js';
 import type {ListRequest} from '../listing/list-request.js';
 import type {RoutingConfiguration} from '../routing/routing-configuration.js';
-import type {NodeState} from './node-state.js';
+import type {EntryState} from './entry-state.js';
 import type {PeerDescriptor} from './peer-descriptor.js';
 import type {PeerEndpoint} from './peer-endpoint.js';
 
 /** `state` is the periodic heartbeat. `handover` and `loss` are broadcast; all other kinds go to one peer. */
 export type PoolMessage =
 	/** `isForMonitor`: the receiver monitors the sender and has to report its loss to the zone. */
-	| {readonly kind: 'state'; readonly state: NodeState; readonly isForMonitor: boolean}
+	| {readonly kind: 'state'; readonly state: EntryState; readonly isForMonitor: boolean}
 	/** A peer that the sender monitors has timed out. */
 	| {readonly kind: 'lost'; readonly member: MemberId}
 	| {readonly kind: 'entries'; readonly entries: readonly PeerEndpoint[]}
--- a/src/features/pool/pool-parts.ts
+++ b/src/features/pool/pool-parts.ts
@@ -4,12 +4,12 @@
 import type {Journal} from '../../runtime/journal/journal.js';
 import type {PauseDetector} from '../../runtime/pause-detector.js';
 import type {PeerNetwork} from '../../runtime/peers/peer-network.js';
-import type {NodeState} from './node-state.js';
+import type {EntryState} from './entry-state.js';
 
 /** What the owner of a pool provides. */
 export type PoolParts = {
 	readonly network: PeerNetwork;
-	readonly ownState: () => NodeState;
+	readonly ownState: () => EntryState;
 	/** Peers that run tasks for this node, or that this node runs tasks for. */
 	readonly peersInUse: () => ReadonlySet<MemberId>;
 	readonly pauses: PauseDetector;
--- a/src/features/pool/pool.ts
+++ b/src/features/pool/pool.ts
@@ -7,7 +7,7 @@
 import type {Pause} from '../../runtime/pause.js';
 import type {Member} from '../../runtime/peers/member.js';
 import {decodeFrame} from './decode-frame.js';
-import type {NodeState} from './node-state.js';
+import type {EntryState} from './entry-state.js';
 import {Epochs} from './epochs.js';
 import {heartbeats} from './heartbeats.js';
 import type {PeerEndpoint} from './peer-endpoint.js';
--- a/src/features/pool/state-broadcaster.ts
+++ b/src/features/pool/state-broadcaster.ts
@@ -1,7 +1,7 @@
 /** Decides when this node sends its state, and to which peers. */
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
-import type {NodeState} from './node-state.js';
+import type {EntryState} from './entry-state.js';
 import {heartbeats} from './heartbeats.js';
 import type {Outbox} from './outbox.js';
 import {countEligibleTargets} from './count-eligible-targets.js';
@@ -39,7 +39,7 @@
 /** Dependencies of a state broadcaster. */
 type StateBroadcasterParts = {
 	readonly members: () => Iterable<PoolMember>;
-	readonly ownState: () => NodeState;
+	readonly ownState: () => EntryState;
 	readonly outbox: Outbox;
 	readonly clock: Clock;
 };
