--- a/src/features/pool/count-eligible-targets.ts
+++ b/src/features/pool/count-eligible-targets.ts
@@ -4,5 +4,5 @@
 
 /** Returns how many targets have enough free capacity for at least one of the waiting tasks. */
 export function countEligibleTargets(demand: readonly CapacityDemand[], freeCapacity: readonly FreeCapacity[]): number {
-	return freeCapacity.filter(share => demand.some(({service, need}) => service === share.service && need.fitsInto(share.room))).length;
+	return freeCapacity.filter(capacity => demand.some(({service, need}) => service === capacity.service && need.fitsInto(capacity.room))).length;
 }
--- a/src/features/pool/decode-messages.ts
+++ b/src/features/pool/decode-messages.ts
@@ -147,7 +147,7 @@
 		isLeaving: values.flag(),
 		routingVersion: values.number(),
 		demand: values.lists(item => ({service: item.text<ServiceName>(), need: decodeAmounts(item)})),
-		freeCapacity: values.lists(share => ({service: share.text<ServiceName>(), room: decodeAmounts(share), labels: share.rest()})),
+		freeCapacity: values.lists(capacity => ({service: capacity.text<ServiceName>(), room: decodeAmounts(capacity), labels: capacity.rest()})),
 	};
 }
 
@@ -219,13 +219,13 @@
 	const target = values.text<InstanceId>();
 	const incarnation = values.number();
 	const text = values.text();
-	const news = lossStates.find(known => known === text);
-	if (news === undefined) {
+	const status = lossStates.find(known => known === text);
+	if (status === undefined) {
 		throw new TypeError(`unknown state of a lost target: ${text}`);
 	}
 
 	return {
-		target, incarnation: incarnation === absentNumber ? undefined : incarnation as Incarnation, status: news, tasks: values.rest().map(task => task as TaskId),
+		target, incarnation: incarnation === absentNumber ? undefined : incarnation as Incarnation, status, tasks: values.rest().map(task => task as TaskId),
 	};
 }
 
--- a/src/features/pool/encode-messages.ts
+++ b/src/features/pool/encode-messages.ts
@@ -54,7 +54,7 @@
 		isLeaving,
 		routingVersion,
 		demand.map(({service, need}) => [service, ...amountsOf(need)]),
-		freeCapacity.map(share => [share.service, ...amountsOf(share.room), ...share.labels]),
+		freeCapacity.map(capacity => [capacity.service, ...amountsOf(capacity.room), ...capacity.labels]),
 	];
 }
 
--- a/src/features/pool/entry-state.ts
+++ b/src/features/pool/entry-state.ts
@@ -1,4 +1,4 @@
-/** The state that a node publishes to its peers. */
+/** The state that an entry publishes to its peers. */
 import type {FreeCapacity} from '../execution/free-capacity.js';
 import type {CapacityDemand} from '../execution/capacity-demand.js';
 
--- a/src/features/pool/heartbeat-timing.ts
+++ b/src/features/pool/heartbeat-timing.ts
@@ -1,4 +1,4 @@
-/** The timing of heartbeats between two nodes. */
+/** The timing of heartbeats between two entries. */
 
 /** A peer gets no new tasks once its last heartbeat is stale, and is considered lost after the timeout. */
 export type HeartbeatTiming = {
--- a/src/features/pool/heartbeats.ts
+++ b/src/features/pool/heartbeats.ts
@@ -1,15 +1,15 @@
-/** Heartbeat timings between the nodes of a pool. */
+/** Heartbeat timings between the entries of a pool. */
 import type {HeartbeatTiming} from './heartbeat-timing.js';
 
 /**
- * Between nodes that run tasks for each other, and in small fleets. Clients resubmit 1300 ms after a loss. The timeout is shorter,
- * so that the tasks of a lost node have been stopped on its peers' targets by then.
+ * Between entries that run tasks for each other, and in small fleets. Callers resubmit 1300 ms after a loss. The timeout is shorter,
+ * so that the tasks of a lost entry have been stopped on its peers' targets by then.
  */
 const active: HeartbeatTiming = {periodMilliseconds: 200, staleAfterMilliseconds: 280, timeoutMilliseconds: 800};
-/** From a node to its monitors, the few peers of its zone that report its loss to the zone. */
+/** From an entry to its monitors, the few peers of its zone that report its loss to the zone. */
 const monitored: HeartbeatTiming = {periodMilliseconds: 400, staleAfterMilliseconds: 560, timeoutMilliseconds: 900};
-/** Between all other nodes. Sending a task to a peer makes it active. */
+/** Between all other entries. Sending a task to a peer makes it active. */
 const idle: HeartbeatTiming = {periodMilliseconds: 1000, staleAfterMilliseconds: 1200, timeoutMilliseconds: 3500};
 
-/** The timings, by how two nodes depend on each other. */
+/** The timings, by how two entries depend on each other. */
 export const heartbeats = {active, monitored, idle} as const;
--- a/src/features/pool/neighbours.ts
+++ b/src/features/pool/neighbours.ts
@@ -48,8 +48,8 @@
 		this.#ranked = undefined;
 	}
 
-	/** Returns the addresses to connect to; `met` are the addresses of connected peers. */
-	choose(met: ReadonlySet<string>): ReadonlySet<string> {
+	/** Returns the addresses to connect to; `connected` are the addresses of connected peers. */
+	choose(connected: ReadonlySet<string>): ReadonlySet<string> {
 		if (this.#zones.size <= fullMeshLimit) {
 			return new Set(this.#zones.keys());
 		}
@@ -63,7 +63,7 @@
 
 		this.#ranked ??= this.#rank();
 		for (const ranked of this.#ranked.values()) {
-			for (const address of this.#chooseFrom(ranked, met)) {
+			for (const address of this.#chooseFrom(ranked, connected)) {
 				chosen.add(address);
 			}
 		}
@@ -71,7 +71,7 @@
 		return chosen;
 	}
 
-	#chooseFrom(ranked: readonly string[], met: ReadonlySet<string>): readonly string[] {
+	#chooseFrom(ranked: readonly string[], connected: ReadonlySet<string>): readonly string[] {
 		const now = this.parts.clock.now();
 		const chosen: string[] = [];
 		for (const address of ranked) {
@@ -79,7 +79,7 @@
 				break;
 			}
 
-			if (met.has(address) || this.#mayDial(address, now)) {
+			if (connected.has(address) || this.#mayDial(address, now)) {
 				chosen.push(address);
 			}
 		}
--- a/src/features/pool/peer-descriptors.ts
+++ b/src/features/pool/peer-descriptors.ts
@@ -1,11 +1,11 @@
-/** Peers that this node knows from other peers. */
+/** Peers that this entry knows from other peers. */
 import type {MemberId} from '../../base/member-id.js';
 import type {PeerDescriptor} from './peer-descriptor.js';
 
 /** Well above the size of any fleet; the oldest descriptors are dropped first. */
 const maximumDescriptors = 1000;
 
-/** Stores the addresses of peers that this node may have to contact without having met them. */
+/** Stores the addresses of peers that this entry may have to contact without having met them. */
 export class PeerDescriptors {
 	readonly #descriptors = new Map<MemberId, PeerDescriptor>();
 
--- a/src/features/pool/pool-connections.ts
+++ b/src/features/pool/pool-connections.ts
@@ -1,4 +1,4 @@
-/** The heartbeat timings between this node and its peers, and the connections it keeps. */
+/** The heartbeat timings between this entry and its peers, and the connections it keeps. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import {rankByKey} from '../../base/rank-by-key.js';
@@ -11,16 +11,16 @@
 
 /** Interval of the checks for unresponsive neighbours when nothing else has changed: half of the dial timeout. */
 const refreshMilliseconds = 500;
-/** Peers of its zone that monitor a node: one may be lost together with it, and one may be slow. */
+/** Monitors of an entry, in its own zone: one may be lost together with it, and one may be slow. */
 const monitorsPerEntry = 3;
 
 /** Dependencies of the connections. */
 type PoolConnectionsParts = {
 	readonly network: PeerNetwork;
 	readonly members: () => Iterable<PoolMember>;
-	/** Peers that run tasks for this node, or that this node runs tasks for. */
+	/** Peers that run tasks for this entry, or that this entry runs tasks for. */
 	readonly peersInUse: () => ReadonlySet<MemberId>;
-	/** Sends a peer this node's state, and whether the peer monitors it. */
+	/** Sends a peer this entry's state, and whether the peer monitors it. */
 	readonly sendState: (member: PoolMember) => void;
 	readonly clock: Clock;
 };
@@ -85,23 +85,23 @@
 	#refresh(): void {
 		this.#refreshedAt = this.parts.clock.now();
 		this.#chooseMonitors();
-		const met = new Set<string>();
+		const connected = new Set<string>();
 		const inactive = new Set<string>();
 		for (const {member, expectedTiming} of this.parts.members()) {
-			met.add(member.peerAddress);
+			connected.add(member.peerAddress);
 			if (expectedTiming !== heartbeats.active) {
 				inactive.add(member.peerAddress);
 			}
 		}
 
-		const watched = new Set([...this.#neighbours.choose(met), ...met].filter(address => !inactive.has(address)));
+		const watched = new Set([...this.#neighbours.choose(connected), ...connected].filter(address => !inactive.has(address)));
 		if (!areEqual(watched, this.#watched)) {
 			this.#watched = watched;
 			this.parts.network.monitor(watched);
 		}
 	}
 
-	/** Selects the monitors of this node in its zone, and informs peers whose role changes. */
+	/** Selects the monitors of this entry in its zone, and informs peers whose role changes. */
 	#chooseMonitors(): void {
 		const {self} = this.parts.network;
 		const zoneMembers = [...this.parts.members()].filter(({member}) => member.zone === self.zone);
--- a/src/features/pool/pool-frame.ts
+++ b/src/features/pool/pool-frame.ts
@@ -2,7 +2,7 @@
 import type {Epoch} from './epoch.js';
 import type {PoolMessage} from './pool-message.js';
 
-/** Sent from one node to another as a unit. */
+/** Sent from one entry to another as a unit. */
 export type PoolFrame = {
 	/** The sender's epoch for the receiver. */
 	readonly epoch: Epoch;
--- a/src/features/pool/pool-member.ts
+++ b/src/features/pool/pool-member.ts
@@ -4,23 +4,23 @@
 import type {CapacityDemand} from '../execution/capacity-demand.js';
 import type {HeartbeatTiming} from './heartbeat-timing.js';
 
-/** The free capacity of a peer's target, as known to this node. */
+/** The free capacity of a peer's target, as known to this entry. */
 type TargetCapacity = Omit<FreeCapacity, 'room'> & {room: FreeCapacity['room']};
 
 /** `freeCapacity` is what the peer last published, minus the needs of the tasks that were sent to it since. */
 export type PoolMember = {
 	readonly member: Member;
-	/** When this node last received anything from the peer, in milliseconds of its monotonic clock. */
+	/** When this entry last received anything from the peer, in milliseconds of its monotonic clock. */
 	heardAt: number;
-	/** The timing of the heartbeats that this node sends to the peer. */
+	/** The timing of the heartbeats that this entry sends to the peer. */
 	sendTiming: HeartbeatTiming;
-	/** The timing of the heartbeats that this node expects from the peer. */
+	/** The timing of the heartbeats that this entry expects from the peer. */
 	expectedTiming: HeartbeatTiming;
 	/** When `expectedTiming` last changed. */
 	timingChangedAt: number;
-	/** Whether the peer monitors this node. */
+	/** Whether the peer monitors this entry. */
 	isMonitor: boolean;
-	/** Whether this node monitors the peer. */
+	/** Whether this entry monitors the peer. */
 	isMonitored: boolean;
 	isLeaving: boolean;
 	routingVersion: number;
--- a/src/features/pool/pool-message.ts
+++ b/src/features/pool/pool-message.ts
@@ -1,4 +1,4 @@
-/** Messages between the nodes of a pool. */
+/** Messages between the entries of a pool. */
 import type {MemberId} from '../../base/member-id.js';
 import type {TaskId} from '../../base/task-id.js';
 import type {Handover} from '../execution/handover.js';
@@ -22,7 +22,7 @@
 	| {readonly kind: 'run'; readonly request: RunRequest}
 	| {readonly kind: 'report'; readonly task: TaskId; readonly attempt: number; readonly outcome: RunOutcome}
 	| {readonly kind: 'stop'; readonly task: TaskId; readonly attempt: number; readonly cause: string}
-	/** `requesters` describes the nodes of the runs, which the new owner may never have met. */
+	/** `requesters` describes the entries of the runs, which the new owner may never have met. */
 	| {readonly kind: 'handover'; readonly handovers: readonly Handover[]; readonly requesters: readonly PeerDescriptor[]}
 	| {readonly kind: 'adopted'; readonly task: TaskId; readonly attempt: number}
 	/** Acknowledges `adopted`: the sender is still waiting for that run. */
--- a/src/features/pool/pool-parts.ts
+++ b/src/features/pool/pool-parts.ts
@@ -10,7 +10,7 @@
 export type PoolParts = {
 	readonly network: PeerNetwork;
 	readonly ownState: () => EntryState;
-	/** Peers that run tasks for this node, or that this node runs tasks for. */
+	/** Peers that run tasks for this entry, or that this entry runs tasks for. */
 	readonly peersInUse: () => ReadonlySet<MemberId>;
 	readonly pauses: PauseDetector;
 	readonly clock: Clock;
--- a/src/features/pool/pool.ts
+++ b/src/features/pool/pool.ts
@@ -1,4 +1,4 @@
-/** The nodes that share the capacity of their targets. */
+/** The entries that share the capacity of their targets. */
 import type {Disposable} from '../../base/disposable.js';
 import {DisposableStore} from '../../base/disposable-store.js';
 import {Emitter} from '../../base/emitter.js';
@@ -21,7 +21,7 @@
 import type {PoolParts} from './pool-parts.js';
 import {StateBroadcaster} from './state-broadcaster.js';
 
-/** `isCurrent` is false for a message of a previous epoch: its sender has been lost here since, or this node has stalled. */
+/** `isCurrent` is false for a message of a previous epoch: its sender has been lost here since, or this entry has stalled. */
 type ReceivedPoolMessage = {readonly from: Member; readonly message: PoolMessage; readonly isCurrent: boolean};
 
 const channel = 'pool';
@@ -32,7 +32,7 @@
 export class Pool implements Disposable {
 	readonly #members = new Map<MemberId, PoolMember>();
 	/** Every incarnation ever met: one that is considered lost may still receive messages, such as requests to stop a run. */
-	readonly #everMet = new Map<MemberId, Member>();
+	readonly #discovered = new Map<MemberId, Member>();
 	readonly #descriptors = new PeerDescriptors();
 	readonly #store = new DisposableStore();
 	readonly #epochs = new Epochs();
@@ -91,17 +91,17 @@
 		return this.#message.event;
 	}
 
-	/** Fires when a peer is gone or has timed out, and for every peer when this node itself has stalled. */
+	/** Fires when a peer is gone or has timed out, and for every peer when this entry itself has stalled. */
 	get onDidLoseMember() {
 		return this.#loseMember.event;
 	}
 
-	/** Fires with the cause when this node has stalled for so long that its peers may have taken over its work. */
+	/** Fires with the cause when this entry has stalled for so long that its peers may have taken over its work. */
 	get onDidStall() {
 		return this.#stall.event;
 	}
 
-	/** Fires when a peer has declared this node lost without this node having noticed. */
+	/** Fires when a peer has declared this entry lost without this entry having noticed. */
 	get onDidDetectEviction() {
 		return this.#detectEviction.event;
 	}
@@ -152,7 +152,7 @@
 
 	/** Sends a message to a peer that was met, even if it is considered lost; ignored for any other. */
 	send(to: MemberId, message: PoolMessage): void {
-		const member = this.#everMet.get(to);
+		const member = this.#discovered.get(to);
 		if (member === undefined) {
 			return;
 		}
@@ -164,17 +164,17 @@
 		}
 	}
 
-	/** Returns descriptors of the given nodes, for peers that may not have met them; unknown ones are left out. */
+	/** Returns descriptors of the given entries, for peers that may not have met them; unknown ones are left out. */
 	describePeers(ids: Iterable<MemberId>): readonly PeerDescriptor[] {
 		const {network, clock} = this.parts;
 		return [...ids].flatMap(id => {
-			const member = id === this.self ? network.self : this.#everMet.get(id);
+			const member = id === this.self ? network.self : this.#discovered.get(id);
 			const heardAt = this.#members.get(id)?.heardAt ?? clock.now();
 			return member === undefined ? [] : [{member, silentMilliseconds: id === this.self ? 0 : Math.round(clock.now() - heardAt)}];
 		});
 	}
 
-	/** Milliseconds for which a peer had been silent when it was last described to this node; 0 if it never was. */
+	/** Milliseconds for which a peer had been silent when it was last described to this entry; 0 if it never was. */
 	reportedSilence(id: MemberId): number {
 		return this.#descriptors.get(id)?.silentMilliseconds ?? 0;
 	}
@@ -184,9 +184,9 @@
 	 * like any other; one that was met before and lost doesn't.
 	 */
 	ensureMember(id: MemberId): boolean {
-		const introduced = this.#descriptors.get(id);
-		if (introduced !== undefined && !this.#everMet.has(id)) {
-			this.#addMember(introduced.member);
+		const descriptor = this.#descriptors.get(id);
+		if (descriptor !== undefined && !this.#discovered.has(id)) {
+			this.#addMember(descriptor.member);
 		}
 
 		return this.#members.has(id);
@@ -204,7 +204,7 @@
 		this.#broadcaster.broadcast();
 	}
 
-	/** Sends one peer this node's state now. */
+	/** Sends one peer this entry's state now. */
 	sendState(id: MemberId): void {
 		const known = this.#members.get(id);
 		if (known !== undefined) {
@@ -243,7 +243,7 @@
 			demand: [],
 			freeCapacity: [],
 		};
-		this.#everMet.set(member.id, member);
+		this.#discovered.set(member.id, member);
 		this.#members.set(member.id, known);
 		this.addPeers([{address: member.peerAddress, zone: member.zone}]);
 		journal.record('poolMemberMet', {member: member.id, zone: member.zone});
@@ -263,7 +263,7 @@
 		}
 
 		this.#members.get(from.id)!.heardAt = this.parts.clock.now();
-		// Must precede the messages: they may report runs that were stopped because of the loss, which this node would restart.
+		// Must precede the messages: they may report runs that were stopped because of the loss, which this entry would restart.
 		if (this.#epochs.observe(from.id, frame)) {
 			this.#detectEviction.fire();
 		}
@@ -294,7 +294,7 @@
 		}
 
 		if (message.kind === 'adopted') {
-			// The new owner may have received fewer heartbeats from this node than the previous one.
+			// The new owner may have received fewer heartbeats from this entry than the previous one.
 			this.sendState(from.id);
 		}
 
@@ -334,7 +334,7 @@
 	}
 
 	/**
-	 * Adds time that this node's clock didn't count to the silence of the peers. Each peer then has until its next heartbeat to be
+	 * Adds time that this entry's clock didn't count to the silence of the peers. Each peer then has until its next heartbeat to be
 	 * heard: earlier ones may still be unread, or the system time may just have been set.
 	 */
 	#handlePause({milliseconds, monotonicMilliseconds: counted}: Pause): void {
--- a/src/features/pool/remote-runs.ts
+++ b/src/features/pool/remote-runs.ts
@@ -1,4 +1,4 @@
-/** Runs that peers have requested from this node. */
+/** Runs that peers have requested from this entry. */
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
 import {DisposableStore} from '../../base/disposable-store.js';
@@ -28,7 +28,7 @@
 	/** The latest message to the requester: the adoption, then the outcome. */
 	lastMessage: PoolMessage | undefined;
 	endedAt: number | undefined;
-	/** Whether the requester is known to have learned that the run is on this node. */
+	/** Whether the requester is known to have learned that the run is on this entry. */
 	isAdoptionAcknowledged: boolean;
 };
 
--- a/src/features/pool/state-broadcaster.ts
+++ b/src/features/pool/state-broadcaster.ts
@@ -1,4 +1,4 @@
-/** Decides when this node sends its state, and to which peers. */
+/** Decides when this entry sends its state, and to which peers. */
 import type {Clock} from '../../base/clock.js';
 import type {Disposable} from '../../base/disposable.js';
 import type {EntryState} from './entry-state.js';
@@ -12,14 +12,14 @@
 /** Shortest interval between two announcements of new capacity. A slot stays idle until it has been announced, so this is short. */
 const newCapacityMilliseconds = 5;
 /**
- * Bounds on the interval after which unused capacity is announced again, to the next waiting peers. Between them it is proportional
- * to the number of announcements and to the fleet's size, which limits the messages that each node sends and receives.
+ * Bounds on the interval after which unused capacity is announced again, to the next waiting peers. Between them it is
+ * proportional to the number of receivers and to the fleet's size, which limits the messages that each entry sends and receives.
  */
 const sameCapacityShortestMilliseconds = 5;
 const sameCapacityLongestMilliseconds = 20;
 /** Part of that interval for each pair of a receiver and a peer. */
 const sameCapacityMillisecondsPerPair = 0.42;
-/** Shortest interval between two announcements of demand, for each receiver: a node under load starts and stops waiting all the time. */
+/** Shortest interval between two announcements of demand, per receiver: under load, demand starts and ends all the time. */
 const demandMillisecondsPerReceiver = 1;
 /**
  * Limits on the receivers of one capacity announcement, in total and for each eligible target. Waiting peers are served in
--- a/src/features/pool/zone-cover.ts
+++ b/src/features/pool/zone-cover.ts
@@ -1,15 +1,15 @@
-/** Assigns zones without nodes of their own to nodes of other zones. */
+/** Assigns zones without entries of their own to entries of other zones. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {MemberId} from '../../base/member-id.js';
 import {rankByKey} from '../../base/rank-by-key.js';
 import type {PoolMember} from './pool-member.js';
 
-/** The properties of this node that decide the assignment. */
+/** The properties of this entry that decide the assignment. */
 type Self = {readonly id: MemberId; readonly zone: AvailabilityZone; readonly isLeaving: boolean};
 
 /**
- * Returns the zones that this node has to cover: zones without a node that stays, for which this one ranks first by rendezvous
- * hashing among all nodes that stay. If two nodes disagree for a moment, the zone's group divides the targets between them.
+ * Returns the zones that this entry has to cover: zones without an entry that stays, for which this one ranks first by rendezvous
+ * hashing among all entries that stay. If two entries disagree for a moment, the zone's group divides the targets between them.
  */
 export function zonesToCover(zones: Iterable<AvailabilityZone>, self: Self, members: Iterable<PoolMember>): ReadonlySet<AvailabilityZone> {
 	const remaining = [...members].filter(member => !member.isLeaving).map(({member}) => ({id: member.id, zone: member.zone}));
@@ -17,10 +17,10 @@
 		remaining.push({id: self.id, zone: self.zone});
 	}
 
-	const occupied = new Set(remaining.map(node => node.zone));
+	const occupied = new Set(remaining.map(entry => entry.zone));
 	const covered = new Set<AvailabilityZone>();
 	for (const zone of new Set(zones)) {
-		const [first] = occupied.has(zone) ? [] : rankByKey(zone, remaining, node => node.id);
+		const [first] = occupied.has(zone) ? [] : rankByKey(zone, remaining, entry => entry.id);
 		if (first?.id === self.id) {
 			covered.add(zone);
 		}
--- a/test/features/pool/epochs.test.ts
+++ b/test/features/pool/epochs.test.ts
@@ -1,4 +1,4 @@
-/** Validity of requests between two nodes, and detection of declared losses. */
+/** Validity of requests between two entries, and detection of declared losses. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {MemberId} from '../../../src/base/member-id.js';
@@ -6,12 +6,12 @@
 
 const [left, right] = ['left#1' as MemberId, 'right#1' as MemberId];
 
-/** Two nodes that exchange their epochs. */
+/** Two entries that exchange their epochs. */
 class Pair {
 	readonly left = new Epochs();
 	readonly right = new Epochs();
 
-	/** The epochs that the left node would send now. */
+	/** The epochs that the left entry would send now. */
 	get fromLeft() {
 		return {epoch: this.left.local(right), acknowledgedEpoch: this.left.remote(right)};
 	}
@@ -20,7 +20,7 @@
 		return {epoch: this.right.local(left), acknowledgedEpoch: this.right.remote(left)};
 	}
 
-	/** Exchanges frames; returns whether the left and the right node detect a loss. */
+	/** Exchanges frames; returns whether the left and the right entry detect a loss. */
 	exchange(): readonly [boolean, boolean] {
 		return [this.left.observe(right, this.fromRight), this.right.observe(left, this.fromLeft)];
 	}
@@ -44,7 +44,7 @@
 	assert.equal(pair.right.isCurrent(left, previous), false);
 });
 
-// Guards against requests that were buffered in the sockets of a stalled node.
+// Guards against requests that were buffered in the sockets of a stalled entry.
 test('a request from before its receiver stalled is outdated', () => {
 	const pair = connectedPair();
 	const previous = pair.fromLeft;
@@ -54,15 +54,15 @@
 	assert.equal(pair.right.isCurrent(left, pair.fromLeft), true);
 });
 
-// Guards against a node that continues its jobs although its peers have stopped the runs it requested.
-test('a node that was declared lost without noticing detects it once', () => {
+// Guards against an entry that continues its jobs although its peers have stopped the runs it requested.
+test('an entry that was declared lost without noticing detects it once', () => {
 	const pair = connectedPair();
 	pair.right.recordLoss(left);
 	assert.equal(pair.exchange()[0], true);
 	assert.equal(pair.exchange()[0], false);
 });
 
-// Guards against giving up jobs whose node was connected all the time.
+// Guards against giving up jobs whose entry was connected all the time.
 test('a loss that both sides noticed is not detected again', () => {
 	const pair = connectedPair();
 	const [delayed, alsoDelayed] = [pair.fromRight, pair.fromLeft];
--- a/test/features/pool/neighbours.test.ts
+++ b/test/features/pool/neighbours.test.ts
@@ -20,7 +20,7 @@
 		neighbours.add(entry);
 	}
 
-	return {neighbours, clock, choose: (met: Iterable<string> = []) => neighbours.choose(new Set(met))};
+	return {neighbours, clock, choose: (connected: Iterable<string> = []) => neighbours.choose(new Set(connected))};
 }
 
 function inZone(addresses: Iterable<string>, zone: number): readonly string[] {
@@ -32,7 +32,7 @@
 });
 
 // Guards against connections that grow with the square of the fleet's size.
-test('in a large fleet a node connects to its zone and to a few peers of each other zone', () => {
+test('in a large fleet an entry connects to its zone and to a few peers of each other zone', () => {
 	const counts = [16, 50].map(inEachZone => {
 		const fleet = fleetOf(6, inEachZone);
 		const chosen = fleet.map(self => neighboursOf(fleet, self).choose());
@@ -45,12 +45,12 @@
 	assert.deepEqual(counts, [{own: 15, mean: 18, least: true}, {own: 49, mean: 20, least: true}]);
 });
 
-test('the selection changes by at most one peer when a node is added', () => {
+test('the selection changes by at most one peer when an entry is added', () => {
 	const {neighbours, choose} = neighboursOf(fleetOf(6, 16));
 	const before = choose();
-	const met = [...before];
+	const connected = [...before];
 	neighbours.add(entryOf(3, 40));
-	const after = choose(met);
+	const after = choose(connected);
 	assert.ok([...after].filter(address => !before.has(address)).length <= 1);
 });
 
@@ -58,14 +58,14 @@
 test('an unresponsive peer is replaced by another one of its zone and retried later', () => {
 	const {clock, choose} = neighboursOf(fleetOf(6, 16));
 	const first = inZone(choose(), 2);
-	const met = [...choose()].filter(address => address !== first[0]);
+	const connected = [...choose()].filter(address => address !== first[0]);
 	clock.advance(500);
-	assert.deepEqual(inZone(choose(met), 2), first);
+	assert.deepEqual(inZone(choose(connected), 2), first);
 	clock.advance(700);
-	const second = inZone(choose(met), 2);
+	const second = inZone(choose(connected), 2);
 	assert.deepEqual([second.length, second.includes(first[0]!), second.includes(first[1]!)], [2, false, true]);
 	clock.advance(2100);
-	assert.ok(inZone(choose(met), 2).includes(first[0]!));
+	assert.ok(inZone(choose(connected), 2).includes(first[0]!));
 });
 
 // Guards against dialling all peers of a partitioned zone at once, and against missing the end of the partition.
--- a/test/features/pool/pool.test.ts
+++ b/test/features/pool/pool.test.ts
@@ -13,7 +13,7 @@
 import {advanceClock} from '../../support/advance-clock.js';
 import {RecordingJournal} from '../../support/recording-journal.js';
 
-/** Counts the messages of each node by kind, and records the receivers of the first node. */
+/** Counts the messages of each entry by kind, and records the receivers of the first entry. */
 class CountingNetwork extends InMemoryNetwork {
 	readonly sent = new Map<string, number>();
 	readonly received = new Set<MemberId>();
@@ -36,7 +36,7 @@
 const service = 'service' as ServiceName;
 const need = new Resources(27_000, 64, 0);
 
-/** Each node has capacity for a task on the given number of targets, and has demand if `isWaiting`. */
+/** Each entry has capacity for a task on the given number of targets, and has demand if `isWaiting`. */
 function fleetOf(count: number, isWaiting: boolean, {targets = 4, zones = 1, inUse = new Set<MemberId>(), usesPeers = (_index: number): boolean => true} = {}) {
 	const clock = new FakeClock();
 	const network = new CountingNetwork(clock);
@@ -61,7 +61,7 @@
 	return {clock, network, pools};
 }
 
-/** Returns how many states the first node sends in a second. */
+/** Returns how many states the first entry sends in a second. */
 async function statesInSecond(fleet: ReturnType<typeof fleetOf>, announceChanges: boolean): Promise<number> {
 	await advanceClock(fleet.clock, 1000);
 	fleet.network.sent.clear();
@@ -76,19 +76,19 @@
 	return fleet.network.sent.get('entry-0:state') ?? 0;
 }
 
-test('in a fleet of eight without load every node sends five heartbeats a second', async () => {
+test('in a fleet of eight without load every entry sends five heartbeats a second', async () => {
 	assert.equal(await statesInSecond(fleetOf(8, false), true), 35);
 });
 
-// Guards against announcements that grow with the square of the fleet's size while every node has demand.
-test('a node of an overloaded fleet of forty sends at most twice as many states as in a fleet of eight', async () => {
+// Guards against announcements that grow with the square of the fleet's size while every entry has demand.
+test('an entry of an overloaded fleet of forty sends at most twice as many states as in a fleet of eight', async () => {
 	const few = await statesInSecond(fleetOf(8, true), true);
 	const many = await statesInSecond(fleetOf(40, true), true);
 	assert.deepEqual({few: few <= 7 * 55, many: many <= 2 * few}, {few: true, many: true});
 });
 
-// Guards against waiting nodes that learn of free capacity only from heartbeats.
-test('capacity is announced to all waiting nodes in rotation', async () => {
+// Guards against waiting entries that learn of free capacity only from heartbeats.
+test('capacity is announced to all waiting entries in rotation', async () => {
 	const fleet = fleetOf(29, true);
 	await advanceClock(fleet.clock, 1000);
 	fleet.network.received.clear();
@@ -101,7 +101,7 @@
 });
 
 // Guards against false losses due to the longer heartbeat periods of large fleets, and against late detection of real ones.
-test('a large fleet loses no live node and detects a disconnected one in time', async () => {
+test('a large fleet loses no live entry and detects a disconnected one in time', async () => {
 	const fleet = fleetOf(40, false);
 	await advanceClock(fleet.clock, 1000);
 	const lost: string[] = [];
@@ -115,8 +115,8 @@
 	assert.deepEqual(lost, ['entry-7#1']);
 });
 
-// Guards against offering one target to many waiting nodes, all but one of which would be refused.
-test('one eligible target is announced to two waiting nodes, and none to nobody', async () => {
+// Guards against offering one target to many waiting entries, all but one of which would be refused.
+test('one eligible target is announced to two waiting entries, and none to nobody', async () => {
 	const one = await statesInSecond(fleetOf(29, true, {targets: 1}), true);
 	const none = await statesInSecond(fleetOf(29, true, {targets: 0}), true);
 	// One in 400 ms to each of three monitors, one a second to the others.
@@ -133,7 +133,7 @@
 	assert.deepEqual({calm: calm < 0.5 * allActive, used: used > calm && used < 0.65 * allActive}, {calm: true, used: true}, `${calm}, ${used}`);
 });
 
-// Guards against late detection of the loss of a node that has just become active: a resubmitted task would run twice.
+// Guards against late detection of the loss of an entry that has just become active: a resubmitted task would run twice.
 test('in a large fleet the loss of a peer in use is detected within 800 ms, that of another one later', async () => {
 	const inUse = new Set<MemberId>();
 	const fleet = fleetOf(40, false, {zones: 4, inUse});
@@ -151,8 +151,8 @@
 	assert.deepEqual(lost, ['entry-1#1', 'entry-2#1']);
 });
 
-// Guards against a partial connection failure that removes a reachable node for long, or interrupts the runs of one in use.
-test('a node that only its monitors lose is restored by its next heartbeat, and one in use is never dropped on their report', async () => {
+// Guards against a partial connection failure that removes a reachable entry for long, or interrupts the runs of one in use.
+test('an entry that only its monitors lose is restored by its next heartbeat, and one in use is never dropped on their report', async () => {
 	const inUse = new Set(['entry-0#1', 'entry-7#1'] as MemberId[]);
 	const fleet = fleetOf(40, false, {inUse, usesPeers: index => index === 0 || index === 7});
 	await advanceClock(fleet.clock, 2000);
