--- a/src/features/membership/instance-list-membership.ts
+++ b/src/features/membership/instance-list-membership.ts
@@ -24,8 +24,8 @@
  * has seen itself on the list more recently, so that it never does so after it has been declared dead.
  */
 const delistedMilliseconds = 5000;
-/** Number of peers in the own zone that are pinged, which bounds the traffic of a node. */
-const watchedInZone = 8;
+/** Number of peers in the own zone that are pinged, which bounds the traffic of an entry. */
+const monitoredInZone = 8;
 /** After a longer silence there is most likely no connection to the member, so that the silence says nothing about it. */
 const lastHeardLimitMilliseconds = 20_000;
 
@@ -40,7 +40,7 @@
 	readonly #metAt = new Map<MemberId, number>();
 	readonly #delistedAt = new Map<MemberId, number>();
 	readonly #refusedAddresses = new Set<string>();
-	readonly #left = new Set<MemberId>();
+	readonly #removed = new Set<MemberId>();
 	readonly #store = new DisposableStore();
 	readonly #join = this.#store.add(new Emitter<Member>());
 	readonly #lose = this.#store.add(new Emitter<MemberLoss>());
@@ -103,11 +103,11 @@
 	}
 
 	override hasUnresolvedInstances(zone: AvailabilityZone): boolean {
-		const met = new Set(this.peers.map(member => member.peerAddress));
+		const memberAddresses = new Set(this.peers.map(member => member.peerAddress));
 		return this.#listed.some(({peerAddress, zone: listedZone, id}) => listedZone === zone
 			&& id !== this.self.instance
 			&& peerAddress !== undefined
-			&& !met.has(peerAddress)
+			&& !memberAddresses.has(peerAddress)
 			&& !this.#refusedAddresses.has(peerAddress));
 	}
 
@@ -148,7 +148,7 @@
 	}
 
 	#addMember(member: Member): void {
-		if (this.#left.has(member.id)) {
+		if (this.#removed.has(member.id)) {
 			return;
 		}
 
@@ -156,7 +156,7 @@
 		this.#metAt.set(member.id, this.clock.now());
 		this.#refusedAddresses.delete(member.peerAddress);
 		this.journal.record('memberMet', {member: member.id, zone: member.zone});
-		this.#updateWatched();
+		this.#updateMonitored();
 		this.#join.fire(member);
 	}
 
@@ -168,9 +168,9 @@
 
 		this.#members.delete(id);
 		this.#delistedAt.delete(id);
-		this.#left.add(id);
+		this.#removed.add(id);
 		this.journal.record(manner === 'left' ? 'memberLeft' : 'memberDead', {member: id, zone: member.zone});
-		this.#updateWatched();
+		this.#updateMonitored();
 		this.#lose.fire({member, manner});
 		this.#metAt.delete(id);
 	}
@@ -184,7 +184,7 @@
 		const addresses = new Set(this.#listed.flatMap(({peerAddress}) => peerAddress ?? []));
 		addresses.delete(this.self.peerAddress);
 		this.network.discover(addresses);
-		this.#updateWatched();
+		this.#updateMonitored();
 		this.#removeDelisted(addresses);
 	}
 
@@ -206,9 +206,9 @@
 	}
 
 	/** Keeps connections to a bounded number of members in the own zone; others are opened on demand. */
-	#updateWatched(): void {
+	#updateMonitored(): void {
 		const inZone = this.peers.filter(member => member.zone === this.self.zone);
-		const watched = rankByKey(this.self.instance, inZone, member => member.instance).slice(0, watchedInZone);
-		this.network.monitor(new Set(watched.map(member => member.peerAddress)));
+		const monitored = rankByKey(this.self.instance, inZone, member => member.instance).slice(0, monitoredInZone);
+		this.network.monitor(new Set(monitored.map(member => member.peerAddress)));
 	}
 }
--- a/src/features/membership/membership.ts
+++ b/src/features/membership/membership.ts
@@ -1,19 +1,19 @@
-/** The live nodes of the fleet. */
+/** The live entries of the fleet. */
 import type {AvailabilityZone} from '../../base/availability-zone.js';
 import type {Event} from '../../base/event.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {Member} from '../../runtime/peers/member.js';
 import type {MemberLoss} from './member-loss.js';
 
-/** This node's local view of the fleet, which may be outdated and may differ from the views of its peers. */
+/** This entry's local view of the fleet, which may be outdated and may differ from the views of its peers. */
 export abstract class Membership {
-	/** This node. */
+	/** This entry. */
 	abstract readonly self: Member;
 
-	/** All live members except this node. */
+	/** All live members except this entry. */
 	abstract readonly peers: readonly Member[];
 
-	/** When the instance list last contained this node, in milliseconds of the monotonic clock; undefined if it never has. */
+	/** When the instance list last contained this entry, in milliseconds of the monotonic clock; undefined if it never has. */
 	abstract readonly lastListedAt: number | undefined;
 
 	/** Fires when a member has been met. */
@@ -22,10 +22,10 @@
 	/** Fires after a member has left or is considered dead. */
 	abstract readonly onDidLose: Event<MemberLoss>;
 
-	/** Live members of a zone, including this node if the zone is its own. */
+	/** Live members of a zone, including this entry if the zone is its own. */
 	abstract membersInZone(zone: AvailabilityZone): readonly Member[];
 
-	/** Returns a live member, or this node itself. */
+	/** Returns a live member, or this entry itself. */
 	abstract findMember(member: MemberId): Member | undefined;
 
 	/** Whether any listed instance of a zone has neither answered nor refused a connection yet. */
@@ -38,7 +38,7 @@
 	abstract millisecondsSinceHeard(member: MemberId): number | undefined;
 
 	/**
-	 * Whether a member may consider this node unresponsive: no ping that was sent within the timeout for unresponsive members has been
+	 * Whether a member may consider this entry unresponsive: no ping that was sent within the timeout for unresponsive members has been
 	 * answered.
 	 */
 	abstract isRoundTripOverdue(member: MemberId): boolean;
@@ -46,6 +46,6 @@
 	/** When the last ping that a member answered was sent, in milliseconds of the monotonic clock. */
 	abstract lastRoundTripAt(member: MemberId): number | undefined;
 
-	/** Notifies all peers that this node is leaving and has handed over its state. */
+	/** Notifies all peers that this entry is leaving and has handed over its state. */
 	abstract announceLeave(): void;
 }
