--- a/src/features/listing/change-log.ts
+++ b/src/features/listing/change-log.ts
@@ -1,7 +1,7 @@
 /** The recent changes of the target list. */
 import type {ListRecord} from './list-record.js';
 
-/** A node that is further behind gets the whole list. */
+/** An entry that is further behind gets the whole list. */
 const maximumChanges = 4096;
 
 /** Stores the changes from an offset on, without records that repeat a known value. */
--- a/src/features/listing/list-request.ts
+++ b/src/features/listing/list-request.ts
@@ -1,6 +1,6 @@
 /** A request for the target list. */
 
-/** Sent by a node to the reader of its zone. */
+/** Sent by an entry to the reader of its zone. */
 export type ListRequest = {
 	/** Assigned by the requester. */
 	readonly requestId: number;
--- a/src/features/listing/list-update.ts
+++ b/src/features/listing/list-update.ts
@@ -1,4 +1,4 @@
-/** An update of the target list, sent from a reader to another node. */
+/** An update of the target list, sent from a reader to another entry. */
 
 /** Either the changes from an offset on, or the whole list. */
 export type ListUpdate = {
--- a/src/features/listing/pack-records.ts
+++ b/src/features/listing/pack-records.ts
@@ -12,13 +12,13 @@
 
 /** One byte, 1 if the rest is deflated, then for each record: offset, length of the key, length of the value, key, value. */
 export function packRecords(records: readonly ListRecord[]): Uint8Array {
-	const packed = Buffer.concat(records.flatMap(record => partsOf(record)));
+	const packed = Buffer.concat(records.flatMap(record => encodeRecord(record)));
 	return packed.length < compressionThresholdBytes
 		? Buffer.concat([Buffer.from([0]), packed])
 		: Buffer.concat([Buffer.from([1]), deflateRawSync(packed, {level})]);
 }
 
-function partsOf({offset, key, value}: ListRecord): readonly Uint8Array[] {
+function encodeRecord({offset, key, value}: ListRecord): readonly Uint8Array[] {
 	const keyBytes = Buffer.from(key);
 	const head = Buffer.alloc(offsetBytes + lengthBytes + lengthBytes);
 	head.writeDoubleBE(offset, 0);
--- a/src/features/listing/pending-list-requests.ts
+++ b/src/features/listing/pending-list-requests.ts
@@ -1,19 +1,19 @@
-/** Requests for the target list from other nodes. */
+/** Requests for the target list from other entries. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 import type {ReplicatedList} from './replicated-list.js';
 import type {ListRequest} from './list-request.js';
 import type {ReaderGroup} from './reader-group.js';
 
-/** How long a node reads for others after a request; followers send several requests in that time. */
+/** How long an entry reads for others after a request; followers send several requests in that time. */
 const serviceMilliseconds = 2000;
 
-/** The latest request of a node. */
+/** The latest request of an entry. */
 type PendingRequest = readonly [MemberId, ListRequest];
 
 /**
  * Answers a request only with a read that began after the request had arrived. This way the requester's own clock bounds the age of
- * the answer, even if this node stalls.
+ * the answer, even if this entry stalls.
  */
 export class PendingListRequests {
 	readonly #pending = new Map<MemberId, ListRequest>();
@@ -21,7 +21,7 @@
 
 	constructor(private readonly readerGroup: ReaderGroup, private readonly clock: Clock) {}
 
-	/** Whether this node has to read for others. */
+	/** Whether this entry has to read for others. */
 	get isServing(): boolean {
 		return this.clock.now() - this.#lastRequestAt <= serviceMilliseconds;
 	}
@@ -31,7 +31,7 @@
 		return [...this.#pending];
 	}
 
-	/** Adds a request; replaces an earlier one from the same node. */
+	/** Adds a request; replaces an earlier one from the same entry. */
 	add(from: MemberId, request: ListRequest): void {
 		this.#lastRequestAt = this.clock.now();
 		this.#pending.set(from, request);
--- a/src/features/listing/pool-reader-group.ts
+++ b/src/features/listing/pool-reader-group.ts
@@ -16,11 +16,11 @@
 
 /** Readers per zone: one may be lost, and one may be disconnected. */
 const readersPerZone = 3;
-/** How long a node that has just started waits for the directory before it reads for itself. */
+/** How long an entry waits for the directory after its start before it reads for itself. */
 const directoryTimeoutMilliseconds = 300;
 /** For this time after the start the directory is used instead of the pool members, few of which have been met yet. */
 const startupMilliseconds = 500;
-/** Up to this size of the directory, which may list nodes that are gone, a node that starts reads for itself. */
+/** Up to this size of the directory, an entry reads for itself after its start; the directory may list entries that are gone. */
 const smallDirectorySize = 3 * fullMeshLimit;
 
 /** Dependencies of a pool reader group. */
@@ -35,7 +35,7 @@
 	readonly #receiveRequest = new Emitter<{readonly from: MemberId; readonly request: ListRequest}>();
 	readonly #receiveUpdate = new Emitter<{readonly from: MemberId; readonly update: ListUpdate}>();
 	readonly #store = new DisposableStore();
-	/** The zones of the nodes in the directory by address, including this node. */
+	/** The zones of the entries in the directory by address, including this entry. */
 	readonly #directory = new Map<string, AvailabilityZone | undefined>();
 	readonly #startedAt: number;
 
@@ -81,7 +81,7 @@
 		return rankByKey(self.address, this.#readerAddresses, address => address).map(address => ids.get(address)).filter(id => id !== undefined);
 	}
 
-	/** Adds nodes that are listed in the directory. */
+	/** Adds entries that are listed in the directory. */
 	addPeers(endpoints: Iterable<PeerEndpoint>): void {
 		for (const {address, zone} of endpoints) {
 			this.#directory.set(address, zone);
@@ -114,7 +114,7 @@
 		return this.#isStartingUp ? this.#directory.size <= smallDirectorySize : [...this.parts.pool.members].length <= fullMeshLimit;
 	}
 
-	/** The addresses of the zone's readers, including this node if it is one. */
+	/** The addresses of the zone's readers, including this entry if it is one. */
 	get #readerAddresses(): readonly string[] {
 		const {pool, self} = this.parts;
 		const zoneAddresses = this.#isStartingUp
--- a/src/features/listing/preferred-reader.ts
+++ b/src/features/listing/preferred-reader.ts
@@ -1,4 +1,4 @@
-/** The reader that this node requests the target list from. */
+/** The reader that this entry requests the target list from. */
 import type {Clock} from '../../base/clock.js';
 import type {MemberId} from '../../base/member-id.js';
 
--- a/src/features/listing/reader-role.ts
+++ b/src/features/listing/reader-role.ts
@@ -1,4 +1,4 @@
-/** The roles of a node in reading the target list. */
+/** The roles of an entry in reading the target list. */
 
 /** `alone`: reads for itself only. `undetermined`: the size of the fleet isn't known yet. */
 export type ReaderRole = 'alone' | 'reader' | 'follower' | 'undetermined';
--- a/src/features/listing/replicated-list.ts
+++ b/src/features/listing/replicated-list.ts
@@ -8,13 +8,13 @@
 import {unpackRecords} from './unpack-records.js';
 
 /**
- * Tracks the store offset up to which the list is known, and applies each later record once and in order, regardless of which node
- * has read it. Late data, from a stalled node or a slow read, is before that offset and has no effect.
+ * Tracks the store offset up to which the list is known, and applies each later record once and in order, regardless of which entry
+ * has read it. Late data, from a stalled entry or a slow read, is before that offset and has no effect.
  */
 export class ReplicatedList {
 	#next: number | undefined;
 	readonly #changes = new ChangeLog();
-	/** The encoded list, cached because nodes that start together request the same one. */
+	/** The encoded list, cached because entries that start together request the same one. */
 	#packedList: {readonly next: number; readonly records: Uint8Array} | undefined;
 
 	constructor(private readonly table: TargetTable) {}
@@ -24,7 +24,7 @@
 		return this.#next;
 	}
 
-	/** Whether the list is consistent as of one offset, so that it may be sent to other nodes. */
+	/** Whether the list is consistent as of one offset, so that it may be sent to other entries. */
 	get isComplete(): boolean {
 		return this.#changes.isComplete;
 	}
--- a/src/features/listing/target-list-replica.ts
+++ b/src/features/listing/target-list-replica.ts
@@ -14,11 +14,13 @@
 import {InterruptibleWait} from './interruptible-wait.js';
 import type {ReaderGroup} from './reader-group.js';
 
+/** Delay after a failed read from the store. */
 const retryMilliseconds = 150;
 /** Shortest interval between reads for others, which also limits requests for the whole list. */
 const minimumReadIntervalMilliseconds = 100;
-const undeterminedMilliseconds = 20;
-/** The interval between reads of a node that reads for itself, as a share of the drain time. */
+/** Interval between checks while the role is undetermined. */
+const roleCheckMilliseconds = 20;
+/** The interval between reads of an entry that reads for itself, as a share of the drain time. */
 const pollShare = 1 / 3;
 /** The interval between reads for others, as a share of the drain time. */
 const serviceShare = 1 / 4;
@@ -33,15 +35,15 @@
 	readonly source: ListSource;
 	readonly table: TargetTable;
 	readonly readerGroup: ReaderGroup;
-	/** The time within which every node must learn that a target is draining and send it no new tasks. */
+	/** The time within which every entry must learn that a target is draining and send it no new tasks. */
 	readonly drainMilliseconds: number;
 	readonly clock: Clock;
 	readonly journal: Journal;
 };
 
 /**
- * A few nodes of a zone read from the store. The others send one of them a new request after each answer, and read from the store
- * themselves if the answer times out. No agreement is needed: any node that gets a request reads.
+ * A few entries of a zone read from the store. The others send one of them a new request after each answer, and read from the store
+ * themselves if the answer times out. No agreement is needed: any entry that gets a request reads.
  */
 export class TargetListReplica implements Disposable {
 	readonly #list: ReplicatedList;
@@ -89,7 +91,7 @@
 			} else if (role === 'follower') {
 				await this.#follow();
 			} else {
-				await this.#wait.wait(undeterminedMilliseconds);
+				await this.#wait.wait(roleCheckMilliseconds);
 			}
 		}
 	}
@@ -142,7 +144,7 @@
 			return;
 		}
 
-		// If the store doesn't answer this node either, the reader isn't at fault.
+		// If the store doesn't answer this entry either, the reader isn't at fault.
 		if (await this.#readDirectly('request timed out') && !this.#isAnswered(requestId)) {
 			this.#preferred.exclude(reader);
 		}
@@ -167,7 +169,7 @@
 		this.#readAt = this.parts.clock.now();
 		const {pending} = this.#requests;
 		const {next} = this.#list;
-		const outcome = next === undefined ? await this.#readNewest() : await this.#readSince(next);
+		const outcome = next === undefined ? await this.#readLatest() : await this.#readSince(next);
 		if (outcome === 'whole' && this.#list.isComplete) {
 			this.#requests.answer(pending, this.#list);
 		}
@@ -175,15 +177,15 @@
 		return outcome;
 	}
 
-	async #readNewest(): Promise<ReadOutcome> {
-		const newest = await this.parts.source.readLatest();
-		if (newest === undefined || this.#isDisposed) {
+	async #readLatest(): Promise<ReadOutcome> {
+		const latest = await this.parts.source.readLatest();
+		if (latest === undefined || this.#isDisposed) {
 			return 'failed';
 		}
 
 		// An update that arrived in the meantime may be newer.
-		if ((this.#list.next ?? 0) <= newest.end) {
-			this.#list.applySnapshot(newest.values, newest.end);
+		if ((this.#list.next ?? 0) <= latest.end) {
+			this.#list.applySnapshot(latest.values, latest.end);
 		}
 
 		return this.#requests.isServing ? 'partial' : 'whole';
--- a/src/features/listing/target-table.ts
+++ b/src/features/listing/target-table.ts
@@ -3,7 +3,7 @@
 /** The value of a key, or its removal. */
 type TableValue = {readonly key: string; readonly value: Uint8Array | undefined};
 
-/** Applies records in the store's order, regardless of which node has read them. */
+/** Applies records in the store's order, regardless of which entry has read them. */
 export abstract class TargetTable {
 	/** The values that reproduce this table when applied in order to an empty one. */
 	abstract readonly snapshot: readonly TableValue[];
--- a/test/features/listing/random-faults.test.ts
+++ b/test/features/listing/random-faults.test.ts
@@ -6,7 +6,7 @@
 import {TargetListCluster} from '../../support/target-list-cluster.js';
 
 const drainMilliseconds = 2000;
-/** A node without faults for this time must know about draining targets in time. */
+/** An entry without faults for this time must know about draining targets in time. */
 const recoveryMilliseconds = 3000;
 const stepMilliseconds = 100;
 const steps = 250;
@@ -16,13 +16,13 @@
 
 type Target = {incarnation: number; seq: number; state: 'ready' | 'draining' | 'gone'; changedAt: number};
 
-/** A random sequence of target changes and node faults, with checks. */
+/** A random sequence of target changes and entry faults, with checks. */
 class RandomRun {
 	readonly world = new TargetListCluster(Array.from({length: 30}, (_, index) => `${index % 2 === 0 ? 'y' : 'z'}-${index}`));
 	readonly #random: Random;
 	readonly #targets = new Map<string, Target>();
 	readonly #faultyAt = new Map<string, number>();
-	/** Functions that end the faults, by node. */
+	/** Functions that end the faults, by entry. */
 	readonly #faults = new Map<string, () => void>();
 
 	constructor(seed: number) {
@@ -49,7 +49,7 @@
 		}
 	}
 
-	/** Ends all faults and checks that all nodes converge. */
+	/** Ends all faults and checks that all entries converge. */
 	async settle(): Promise<void> {
 		for (const end of this.#faults.values()) {
 			end();
@@ -142,7 +142,7 @@
 		};
 	}
 
-	/** Delays the messages of a node, so that they arrive after newer ones of other nodes. */
+	/** Delays the messages of an entry, so that they arrive after newer ones of other entries. */
 	#delay(name: string): () => void {
 		const routes = [...this.world.entries.keys()].map(other => `${name}#1>${other}#1`);
 		for (const route of routes) {
@@ -156,7 +156,7 @@
 		};
 	}
 
-	/** Checks that healthy nodes know about draining and removed targets once the drain time has passed. */
+	/** Checks that healthy entries know about draining and removed targets once the drain time has passed. */
 	#checkAnnouncements(): void {
 		const now = this.world.clock.now();
 		for (const [id, {state, changedAt}] of this.#targets) {
@@ -184,8 +184,8 @@
 }
 
 for (const seed of seeds) {
-	// Guards against faults of some nodes that keep healthy ones from learning about draining targets.
-	test(`healthy nodes learn in time which targets are draining while others fail, seed ${seed}`, async () => {
+	// Guards against faults of some entries that keep healthy ones from learning about draining targets.
+	test(`healthy entries learn in time which targets are draining while others fail, seed ${seed}`, async () => {
 		const run = new RandomRun(seed);
 		try {
 			await run.play();
--- a/test/features/listing/replicated-list.test.ts
+++ b/test/features/listing/replicated-list.test.ts
@@ -1,4 +1,4 @@
-/** Consistency of the replicated target list, regardless of which node reads it. */
+/** Consistency of the replicated target list, regardless of which entry reads it. */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
 import {test} from 'node:test';
--- a/test/features/listing/target-list-replica.test.ts
+++ b/test/features/listing/target-list-replica.test.ts
@@ -5,14 +5,14 @@
 import {fullMeshLimit} from '../../../src/features/pool/full-mesh-limit.js';
 import {TargetListCluster} from '../../support/target-list-cluster.js';
 
-/** Nodes must learn within this time that a target is draining. */
+/** Entries must learn within this time that a target is draining. */
 const drainMilliseconds = 2000;
 const born = 1_700_000_000_000;
 const readersPerZone = 3;
 
-type TargetEntry = {readonly state?: string; readonly seq?: number; readonly born?: number; readonly addr?: string};
+type TargetFields = {readonly state?: string; readonly seq?: number; readonly born?: number; readonly addr?: string};
 
-function targetOf({state = 'ready', seq = 1, born: bornAt = born, addr = '10.0.1.1:1'}: TargetEntry = {}): string {
+function targetOf({state = 'ready', seq = 1, born: bornAt = born, addr = '10.0.1.1:1'}: TargetFields = {}): string {
 	return `{"service":"s","addr":"${addr}","zone":"z","state":"${state}","born":${bornAt},"seq":${seq},"capacity":{"cpu":64000,"mem_mb":1000,"gpu":0},"labels":["a"]}`;
 }
 
@@ -20,7 +20,7 @@
 	return Array.from({length: count}, (_, index) => `${zone}-${index}`);
 }
 
-/** A fleet whose nodes have the list; targets `t-0` to `t-4` write every half second. */
+/** A fleet whose entries have the list; targets `t-0` to `t-4` write every half second. */
 async function worldOf(context: TestContext, names = named('z', 20)) {
 	const world = new TargetListCluster(names);
 	let seq = 1;
@@ -49,7 +49,7 @@
 	return {world, pass};
 }
 
-test('in a zone of a large fleet three nodes read, and the others learn of each change in time', async context => {
+test('in a zone of a large fleet three entries read, and the others learn of each change in time', async context => {
 	const {world, pass} = await worldOf(context);
 	world.store.put('leaving', targetOf());
 	await pass(1500);
@@ -60,7 +60,7 @@
 	assert.equal(world.takeReaders().length, readersPerZone);
 });
 
-test('the nodes of a small fleet read for themselves', async context => {
+test('the entries of a small fleet read for themselves', async context => {
 	const {world, pass} = await worldOf(context, named('z', fullMeshLimit + 1));
 	await pass(1000);
 	assert.equal(world.takeReaders().length, fullMeshLimit + 1);
@@ -81,11 +81,11 @@
 	await pass(4000);
 	world.takeReaders();
 	await pass(2000);
-	assert.equal(world.takeReaders().length, readersPerZone, 'other nodes must have become readers');
+	assert.equal(world.takeReaders().length, readersPerZone, 'other entries must have become readers');
 });
 
 // Guards against a failed read from the store right after the loss of the readers.
-test('a draining target is known in time although readers crash and one read of each node fails', async context => {
+test('a draining target is known in time although readers crash and one read of each entry fails', async context => {
 	const {world, pass} = await worldOf(context);
 	await pass(1000);
 	for (const name of world.takeReaders()) {
@@ -169,8 +169,8 @@
 });
 
 for (const half of [0, 1]) {
-	// Guards against nodes with different views of the fleet, which select different readers.
-	test(`nodes that disagree about the readers all get the list, half ${half}`, async context => {
+	// Guards against entries with different views of the fleet, which select different readers.
+	test(`entries that disagree about the readers all get the list, half ${half}`, async context => {
 		const {world, pass} = await worldOf(context);
 		await pass(1000);
 		const readers = world.takeReaders();
@@ -193,9 +193,9 @@
 	});
 }
 
-// Guards against new nodes that read a list of thousands of targets from the store, or lack what the reader knows: draining targets,
-// malformed records and recent removals.
-test('a node that joins late gets the whole list from a reader', async context => {
+// Guards against new entries that read a list of thousands of targets from the store, or lack what the reader knows: draining
+// targets, malformed records and recent removals.
+test('an entry that joins late gets the whole list from a reader', async context => {
 	const {world, pass} = await worldOf(context, named('z', 40));
 	world.store.put('leaving', targetOf({state: 'draining', seq: 7}));
 	for (const id of ['malformed', 'gone']) {
@@ -219,7 +219,7 @@
 });
 
 // Guards against omitting a record that differs only in its sequence number after the target was removed.
-test('a target that is removed for a moment is restored on all nodes', async context => {
+test('a target that is removed for a moment is restored on all entries', async context => {
 	const {world, pass} = await worldOf(context);
 	world.store.put('t-9', targetOf({seq: 1}));
 	await pass(1500);
@@ -230,8 +230,8 @@
 	assert.deepEqual(world.entriesNotInState('t-9', 'ready'), []);
 });
 
-// Guards against all nodes reading the missed records from the store at once when it is available again.
-test('after an outage of the store most nodes get what they missed from readers', async context => {
+// Guards against all entries reading the missed records from the store at once when it is available again.
+test('after an outage of the store most entries get what they missed from readers', async context => {
 	const {world, pass} = await worldOf(context, named('z', 40));
 	for (const name of world.entries.keys()) {
 		world.store.unreachableEntries.add(name);
@@ -249,8 +249,8 @@
 	assert.equal(before.size < 40, true, `${before.size} read`);
 });
 
-// Guards against a node that is disconnected from all peers, but not from the store.
-test('a node without peers reads for itself', async context => {
+// Guards against an entry that is disconnected from all peers, but not from the store.
+test('an entry without peers reads for itself', async context => {
 	const {world, pass} = await worldOf(context);
 	world.network.isolate('z-5', true);
 	await pass(1000);
@@ -266,7 +266,7 @@
 	assert.equal(world.takeReaders().length, readersPerZone);
 });
 
-test('a node that is leaving no longer reads for others', async context => {
+test('an entry that is leaving no longer reads for others', async context => {
 	const {world, pass} = await worldOf(context);
 	await pass(1000);
 	const [leaving] = world.takeReaders();
@@ -280,8 +280,8 @@
 	assert.deepEqual(others, []);
 });
 
-// Guards against a node that ignores requests because it doesn't consider itself a reader.
-test('a node that gets a request reads, whatever its role', async context => {
+// Guards against an entry that ignores requests because it doesn't consider itself a reader.
+test('an entry that gets a request reads, whatever its role', async context => {
 	const {world, pass} = await worldOf(context);
 	await pass(1000);
 	const readers = world.takeReaders();
