--- a/src/features/listing/pool-reader-group.ts
+++ b/src/features/listing/pool-reader-group.ts
@@ -18,7 +18,7 @@
 const readersPerZone = 3;
 /** How long an entry waits for the directory after its start before it reads for itself. */
 const directoryTimeoutMilliseconds = 300;
-/** For this time after the start the directory is used instead of the pool members, few of which have been met yet. */
+/** For this time after the start the directory is used instead of the pool members, few of which have been discovered yet. */
 const startupMilliseconds = 500;
 /** Up to this size of the directory, an entry reads for itself after its start; the directory may list entries that are gone. */
 const smallDirectorySize = 3 * fullMeshLimit;
--- a/src/features/membership/membership.ts
+++ b/src/features/membership/membership.ts
@@ -16,7 +16,7 @@
 	/** When the instance list last contained this entry, in milliseconds of the monotonic clock; undefined if it never has. */
 	abstract readonly lastListedAt: number | undefined;
 
-	/** Fires when a member has been met. */
+	/** Fires when a member has been discovered. */
 	abstract readonly onDidJoin: Event<Member>;
 
 	/** Fires after a member has left or is considered dead. */
@@ -34,7 +34,7 @@
 	/** Whether a member has been silent for so long that it may be dead or paused. */
 	abstract isUnresponsive(member: MemberId): boolean;
 
-	/** Milliseconds since a member was last heard; undefined if it never was, or too long ago to be meaningful. */
+	/** Milliseconds since a member last sent anything; undefined if it never has, or too long ago to be meaningful. */
 	abstract millisecondsSinceHeard(member: MemberId): number | undefined;
 
 	/**
--- a/src/features/pool/neighbours.ts
+++ b/src/features/pool/neighbours.ts
@@ -8,7 +8,7 @@
 /** Peers selected from each other zone. Two, so that the zone stays connected when one of them is lost. */
 const peersPerZone = 2;
 /** After this time without a connection another peer of the zone is tried. */
-const dialMilliseconds = 1000;
+const dialTimeoutMilliseconds = 1000;
 /** How long an unreachable peer is skipped. The peers of a partitioned zone are dialled in turn, not all at once. */
 const skipMilliseconds = 2000;
 
@@ -94,12 +94,12 @@
 		}
 
 		const dialledAt = this.#dialledAt.get(address);
-		if (dialledAt === undefined || now - dialledAt > dialMilliseconds + skipMilliseconds) {
+		if (dialledAt === undefined || now - dialledAt > dialTimeoutMilliseconds + skipMilliseconds) {
 			this.#dialledAt.set(address, now);
 			return true;
 		}
 
-		if (now - dialledAt <= dialMilliseconds) {
+		if (now - dialledAt <= dialTimeoutMilliseconds) {
 			return true;
 		}
 
--- a/src/features/pool/peer-descriptors.ts
+++ b/src/features/pool/peer-descriptors.ts
@@ -5,7 +5,7 @@
 /** Well above the size of any fleet; the oldest descriptors are dropped first. */
 const maximumDescriptors = 1000;
 
-/** Stores the addresses of peers that this entry may have to contact without having met them. */
+/** Stores the addresses of peers that this entry may have to contact without having been connected to them before. */
 export class PeerDescriptors {
 	readonly #descriptors = new Map<MemberId, PeerDescriptor>();
 
--- a/src/features/pool/pool-message.ts
+++ b/src/features/pool/pool-message.ts
@@ -22,7 +22,7 @@
 	| {readonly kind: 'run'; readonly request: RunRequest}
 	| {readonly kind: 'report'; readonly task: TaskId; readonly attempt: number; readonly outcome: RunOutcome}
 	| {readonly kind: 'stop'; readonly task: TaskId; readonly attempt: number; readonly cause: string}
-	/** `requesters` describes the entries of the runs, which the new owner may never have met. */
+	/** `requesters` describes the entries of the runs, which the new owner may never have connected to. */
 	| {readonly kind: 'handover'; readonly handovers: readonly Handover[]; readonly requesters: readonly PeerDescriptor[]}
 	| {readonly kind: 'adopted'; readonly task: TaskId; readonly attempt: number}
 	/** Acknowledges `adopted`: the sender is still waiting for that run. */
--- a/src/features/pool/pool.ts
+++ b/src/features/pool/pool.ts
@@ -31,7 +31,7 @@
 /** Exchanges state with all peers and detects their loss. */
 export class Pool implements Disposable {
 	readonly #members = new Map<MemberId, PoolMember>();
-	/** Every incarnation ever met: one that is considered lost may still receive messages, such as requests to stop a run. */
+	/** Every incarnation discovered so far: one that is considered lost may still receive messages, such as requests to stop a run. */
 	readonly #discovered = new Map<MemberId, Member>();
 	readonly #descriptors = new PeerDescriptors();
 	readonly #store = new DisposableStore();
@@ -130,7 +130,7 @@
 		return this.parts.clock.now() - heardAt <= expectedTiming.staleAfterMilliseconds;
 	}
 
-	/** Whether a peer has been heard within the limits of an active heartbeat. */
+	/** Whether the last message from a peer is recent by the timing of active heartbeats. */
 	isResponsive(id: MemberId): boolean {
 		const known = this.#members.get(id);
 		return known !== undefined && this.parts.clock.now() - known.heardAt <= heartbeats.active.staleAfterMilliseconds;
@@ -150,7 +150,7 @@
 		this.#connections.add(endpoints);
 	}
 
-	/** Sends a message to a peer that was met, even if it is considered lost; ignored for any other. */
+	/** Sends a message to a peer that was discovered, even if it is considered lost; ignored for any other. */
 	send(to: MemberId, message: PoolMessage): void {
 		const member = this.#discovered.get(to);
 		if (member === undefined) {
@@ -164,7 +164,7 @@
 		}
 	}
 
-	/** Returns descriptors of the given entries, for peers that may not have met them; unknown ones are left out. */
+	/** Returns descriptors of the given entries, for peers that may never have been connected to them; unknown ones are left out. */
 	describePeers(ids: Iterable<MemberId>): readonly PeerDescriptor[] {
 		const {network, clock} = this.parts;
 		return [...ids].flatMap(id => {
@@ -181,7 +181,7 @@
 
 	/**
 	 * Whether a peer is a live member. A peer that is only known from a descriptor becomes a member, and then has to send heartbeats
-	 * like any other; one that was met before and lost doesn't.
+	 * like any other; one that was discovered before and lost doesn't.
 	 */
 	ensureMember(id: MemberId): boolean {
 		const descriptor = this.#descriptors.get(id);
@@ -325,7 +325,7 @@
 		}
 	}
 
-	/** Drops a peer that its monitor reports as lost, unless the peer is in use or was heard here more recently. */
+	/** Drops a peer that its monitor reports as lost, unless the peer is in use or has sent this entry a message more recently. */
 	#handleReportedLoss(id: MemberId): void {
 		const known = this.#members.get(id);
 		if (known?.expectedTiming === heartbeats.idle && this.parts.clock.now() - known.heardAt > heartbeats.monitored.periodMilliseconds) {
@@ -334,8 +334,8 @@
 	}
 
 	/**
-	 * Adds time that this entry's clock didn't count to the silence of the peers. Each peer then has until its next heartbeat to be
-	 * heard: earlier ones may still be unread, or the system time may just have been set.
+	 * Adds time that this entry's clock didn't count to the silence of the peers. Each peer then has until its next heartbeat
+	 * to send something: earlier messages may still be unread, or the system time may just have been set.
 	 */
 	#handlePause({milliseconds, monotonicMilliseconds: counted}: Pause): void {
 		const now = this.parts.clock.now();
--- a/src/features/pool/remote-runs.ts
+++ b/src/features/pool/remote-runs.ts
@@ -49,7 +49,7 @@
 			if (message.kind === 'run' && !isCurrent && !this.#isKnown(from.id, message.request)) {
 				this.#refuseOutdated(from.id, message.request);
 			} else {
-				this.#receive(from.id, message);
+				this.#handleMessage(from.id, message);
 			}
 		}));
 		this.#store.add(executor.onDidReport(report => {
@@ -83,14 +83,14 @@
 		this.#store.dispose();
 	}
 
-	#receive(from: MemberId, message: PoolMessage): void {
+	#handleMessage(from: MemberId, message: PoolMessage): void {
 		if (message.kind === 'run') {
-			this.#run(from, message.request);
+			this.#handleRun(from, message.request);
 			return;
 		}
 
 		if (message.kind === 'stop') {
-			this.#stop(from, message);
+			this.#handleStop(from, message);
 			return;
 		}
 
@@ -128,7 +128,7 @@
 		});
 	}
 
-	#run(from: MemberId, request: RunRequest): void {
+	#handleRun(from: MemberId, request: RunRequest): void {
 		const key = runKeyOf(request);
 		const known = this.#runs.get(key);
 		if (known?.requester === from) {
@@ -137,7 +137,7 @@
 		}
 
 		if (this.executor.isRunning(request.task)) {
-			this.#wait(from, request);
+			this.#queueUntilEnd(from, request);
 			return;
 		}
 
@@ -194,7 +194,7 @@
 		}
 	}
 
-	#wait(from: MemberId, {task, attempt}: RunRequest): void {
+	#queueUntilEnd(from: MemberId, {task, attempt}: RunRequest): void {
 		this.#cancelWaiting(from, task);
 		this.#waiting.set(task, [...this.#waiting.get(task) ?? [], {from, attempt}]);
 	}
@@ -218,7 +218,7 @@
 		this.#waiting.delete(task);
 	}
 
-	#stop(from: MemberId, {task, attempt, cause}: Extract<PoolMessage, {kind: 'stop'}>): void {
+	#handleStop(from: MemberId, {task, attempt, cause}: Extract<PoolMessage, {kind: 'stop'}>): void {
 		const known = this.#runs.get(runKeyOf({task, attempt}));
 		if (known !== undefined && known.requester !== from) {
 			this.#cancelWaiting(from, task);
--- a/src/features/pool/state-broadcaster.ts
+++ b/src/features/pool/state-broadcaster.ts
@@ -10,15 +10,15 @@
 /** Delay before a change is broadcast, so that changes in quick succession are sent together. */
 const broadcastDelayMilliseconds = 20;
 /** Shortest interval between two announcements of new capacity. A slot stays idle until it has been announced, so this is short. */
-const newCapacityMilliseconds = 5;
+const announcementIntervalMilliseconds = 5;
 /**
  * Bounds on the interval after which unused capacity is announced again, to the next waiting peers. Between them it is
  * proportional to the number of receivers and to the fleet's size, which limits the messages that each entry sends and receives.
  */
-const sameCapacityShortestMilliseconds = 5;
-const sameCapacityLongestMilliseconds = 20;
+const shortestRepeatMilliseconds = 5;
+const longestRepeatMilliseconds = 20;
 /** Part of that interval for each pair of a receiver and a peer. */
-const sameCapacityMillisecondsPerPair = 0.42;
+const repeatMillisecondsPerPair = 0.42;
 /** Shortest interval between two announcements of demand, per receiver: under load, demand starts and ends all the time. */
 const demandMillisecondsPerReceiver = 1;
 /**
@@ -102,7 +102,7 @@
 
 	/** Announces changed capacity if any peer waits for it. */
 	announceCapacity(): void {
-		const dueAt = this.#capacityAnnouncedAt + newCapacityMilliseconds;
+		const dueAt = this.#capacityAnnouncedAt + announcementIntervalMilliseconds;
 		if (this.#pendingCapacity !== undefined && this.#pendingCapacity.dueAt <= dueAt) {
 			return;
 		}
@@ -170,10 +170,10 @@
 		}
 
 		const receivers = Math.min(receiversPerAnnouncement, receiversPerTarget * targets, candidates.length);
-		const interval = receivers * peers.length * sameCapacityMillisecondsPerPair;
+		const interval = receivers * peers.length * repeatMillisecondsPerPair;
 		this.#announcedTargets = targets;
 		this.#capacityAnnouncedAt = clock.now();
-		this.#repeatDueAt = clock.now() + Math.min(sameCapacityLongestMilliseconds, Math.max(sameCapacityShortestMilliseconds, interval));
+		this.#repeatDueAt = clock.now() + Math.min(longestRepeatMilliseconds, Math.max(shortestRepeatMilliseconds, interval));
 		this.#sendInRotation(candidates.map(({member}) => member), receivers);
 		this.#scheduleCapacity(this.#repeatDueAt);
 	}
--- a/src/features/pool/zone-cover.ts
+++ b/src/features/pool/zone-cover.ts
@@ -8,8 +8,9 @@
 type Self = {readonly id: MemberId; readonly zone: AvailabilityZone; readonly isLeaving: boolean};
 
 /**
- * Returns the zones that this entry has to cover: zones without an entry that stays, for which this one ranks first by rendezvous
- * hashing among all entries that stay. If two entries disagree for a moment, the zone's group divides the targets between them.
+ * Returns the zones that this entry has to cover: zones all of whose entries are leaving or gone, for which this one ranks first by
+ * rendezvous hashing among all entries that aren't leaving. If two entries disagree for a moment, the zone's group divides the
+ * targets between them.
  */
 export function zonesToCover(zones: Iterable<AvailabilityZone>, self: Self, members: Iterable<PoolMember>): ReadonlySet<AvailabilityZone> {
 	const remaining = [...members].filter(member => !member.isLeaving).map(({member}) => ({id: member.id, zone: member.zone}));
