--- a/bench/cases/fault-cases.ts
+++ b/bench/cases/fault-cases.ts
@@ -15,9 +15,9 @@
 	override async disturb(fleet: Fleet, seconds: number): Promise<void> {
 		await wait(seconds * 300);
 		const [victim] = fleet.entries;
-		await fleet.endEntry(victim!, 'SIGKILL');
+		await fleet.stopEntry(victim!, 'SIGKILL');
 		await wait(2000);
-		await fleet.delist(victim!.instance);
+		await fleet.deregister(victim!.instance);
 		await fleet.startEntry(victim!.zone);
 	}
 }
@@ -47,9 +47,9 @@
 		for (const entry of fleet.entries) {
 			await fleet.startEntry(entry.zone);
 			await fleet.waitUntilReady();
-			await fleet.list(entry, 'leaving');
-			const code = await fleet.endEntry(entry, 'SIGTERM');
-			await fleet.delist(entry.instance);
+			await fleet.register(entry, 'leaving');
+			const code = await fleet.stopEntry(entry, 'SIGTERM');
+			await fleet.deregister(entry.instance);
 			if (code !== 0) {
 				throw new Error(`${entry.instance} ended with ${code}`);
 			}
@@ -65,9 +65,9 @@
 
 	override async disturb(fleet: Fleet, seconds: number): Promise<void> {
 		await wait(seconds * 300);
-		fleet.cutZones(new Set(['zone-1']));
+		fleet.partitionZones(new Set(['zone-1']));
 		await wait(seconds * 330);
-		fleet.cutZones(new Set());
+		fleet.partitionZones(new Set());
 	}
 }
 
--- a/bench/publish-profile.ts
+++ b/bench/publish-profile.ts
@@ -3,7 +3,7 @@
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
 import type {Fleet} from '../fleet/fleet.js';
-import {runToEnd} from '../fleet/run-to-end.js';
+import {runToCompletion} from '../fleet/run-to-completion.js';
 
 const commandMain = 'src/entries/command/main.js';
 
@@ -12,7 +12,7 @@
 	const folder = mkdtempSync(join(tmpdir(), 'savorylock-profile-'));
 	const file = join(folder, `${name}.toml`);
 	writeFileSync(file, `name = "${name}"\ndeadlineMilliseconds = 30000\ntaskLimitMilliseconds = 10000\n${further}`);
-	const {code, output, errors} = await runToEnd(commandMain, ['publish', file, '--log', fleet.logUrl, '--instances', fleet.instancesUrl]);
+	const {code, output, errors} = await runToCompletion(commandMain, ['publish', file, '--log', fleet.logUrl, '--instances', fleet.instancesUrl]);
 	rmSync(folder, {recursive: true});
 	if (code !== 0) {
 		throw new Error(`publishing ${name} ended with ${code}: ${output}${errors}`);
--- a/bench/run-case.ts
+++ b/bench/run-case.ts
@@ -5,7 +5,7 @@
 import {v7 as makeTimedId} from 'uuid';
 import {Fleet} from '../fleet/fleet.js';
 import type {FleetPlan} from '../fleet/fleet-plan.js';
-import {targetTruth} from '../fleet/target-truth.js';
+import {fetchTargetCounters} from '../fleet/fetch-target-counters.js';
 import type {BenchCase} from './bench-case.js';
 import type {BenchOptions} from './bench-options.js';
 import type {BenchResult} from './bench-result.js';
@@ -55,7 +55,7 @@
 }
 
 async function measured(fleet: Fleet, benchCase: BenchCase, options: BenchOptions, jobs: readonly PlannedJob[]): Promise<BenchResult> {
-	const before = {truth: await targetTruth(fleet), counts: await entryCounts(fleet.entries), exchanges: 0};
+	const before = {truth: await fetchTargetCounters(fleet), counts: await entryCounts(fleet.entries), exchanges: 0};
 	const startedAt = performance.now();
 	const traffic = {exchanges: 0};
 	const lastCounts = new Map(before.counts);
@@ -64,7 +64,7 @@
 	const disturbance = benchCase.disturb(fleet, options.seconds);
 	const sending = sendAll(fleet, benchCase, jobs, traffic);
 	await wait(options.seconds * 1000);
-	const atLastArrival = await targetTruth(fleet);
+	const atLastArrival = await fetchTargetCounters(fleet);
 	const windowMilliseconds = performance.now() - startedAt;
 	const outcomes = await sending;
 	await disturbance;
@@ -77,7 +77,7 @@
 		jobs,
 		outcomes,
 		before,
-		after: {truth: await targetTruth(fleet), counts: lastCounts, exchanges: traffic.exchanges},
+		after: {truth: await fetchTargetCounters(fleet), counts: lastCounts, exchanges: traffic.exchanges},
 		begun: await begunTasks(fleet),
 		elapsedMilliseconds,
 		window: {milliseconds: windowMilliseconds, truth: atLastArrival},
--- a/fleet/fleet-entry.ts
+++ b/fleet/fleet-entry.ts
@@ -1,16 +1,16 @@
-/** An entry process of a fleet. */
+/** Describes a running entry process. */
 import type {Relay} from '../standins/relay.js';
 import type {Program} from './program.js';
 
-/** The process with its place in the fleet. */
+/** An entry process with its identity and addresses. */
 export type FleetEntry = {
 	readonly instance: string;
 	readonly zone: string;
 	readonly program: Program;
 	/** `IP:port` of its HTTP server. */
 	readonly address: string;
-	/** `IP:port` at which its peers reach it. */
+	/** `IP:port` that peers connect to; the address of `relay`. */
 	readonly peerAddress: string;
-	/** Stands between its peers and it. */
+	/** Forwards connections from peers to the process. */
 	readonly relay: Relay;
 };
--- a/fleet/fleet.ts
+++ b/fleet/fleet.ts
@@ -1,4 +1,4 @@
-/** A whole installation on loopback, each part a process. */
+/** Runs a complete installation on loopback, one process per component. */
 import {mkdtempSync, rmSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
@@ -12,11 +12,15 @@
 const readyPeriodMilliseconds = 50;
 const rackSize = 6;
 
-/** Between the entries of a zone and the platform. */
+/** Relays between the entries of one zone and the log and instance list. */
 type PlatformRelays = {readonly log: Relay; readonly list: Relay; readonly logUrl: string; readonly listUrl: string};
 
-/** Starts the stand-ins and the entries, and ends all of them. */
+/** Starts and stops the stand-in services and the entries. */
 export class Fleet {
+	/**
+	 * Starts every process and waits until all entries are ready.
+	 * @throws {Error} If the entries are not ready within 20 s.
+	 */
 	static async start(plan: FleetPlan): Promise<Fleet> {
 		const log = await Program.start('standins/log/main.js', []);
 		const instances = await Program.start('standins/instances/main.js', []);
@@ -32,7 +36,7 @@
 	}
 
 	readonly entries: FleetEntry[] = [];
-	/** Addresses of the targets, by zone. */
+	/** Addresses of the targets, keyed by zone. */
 	readonly targets = new Map<string, readonly string[]>();
 	readonly #folder = mkdtempSync(join(tmpdir(), 'savorylock-'));
 	readonly #programs: Program[] = [];
@@ -50,7 +54,7 @@
 		return Array.from({length: this.plan.zones}, (_, index) => `zone-${index + 1}`);
 	}
 
-	/** Starts one more entry and lists it. */
+	/** Starts an additional entry and registers it with the instance list. */
 	async startEntry(zone: string): Promise<FleetEntry> {
 		this.#started += 1;
 		const instance = `entry-${this.#started}`;
@@ -64,42 +68,47 @@
 			instance, zone, program, address: `127.0.0.1:${program.ports.httpPort}`, peerAddress, relay,
 		};
 		this.entries.push(entry);
-		await this.list(entry, 'live');
+		await this.register(entry, 'live');
 		return entry;
 	}
 
-	/** Puts an entry on the instance list. */
-	async list(entry: FleetEntry, state: 'live' | 'leaving'): Promise<void> {
+	/** Adds an entry to the instance list, or updates its state there. */
+	async register(entry: FleetEntry, state: 'live' | 'leaving'): Promise<void> {
 		await putJson(`${this.instancesUrl}/instances/${entry.instance}`, {
 			id: entry.instance, kind: 'entry', zone: entry.zone, address: entry.address, peerAddress: entry.peerAddress, state,
 		});
 	}
 
-	async delist(id: string): Promise<void> {
+	/** Removes an entry or target from the instance list. */
+	async deregister(id: string): Promise<void> {
 		const response = await request(`${this.instancesUrl}/instances/${id}`, {method: 'DELETE'});
 		await response.body.dump();
 	}
 
-	/** Ends an entry; a killed one stays on the list for a while, as the platform's does. */
-	async endEntry(entry: FleetEntry, signal: 'SIGTERM' | 'SIGKILL'): Promise<number | undefined> {
-		const code = await entry.program.end(signal);
+	/** Terminates an entry and returns its exit code. Leaves the instance list unchanged. */
+	async stopEntry(entry: FleetEntry, signal: 'SIGTERM' | 'SIGKILL'): Promise<number | undefined> {
+		const code = await entry.program.terminate(signal);
 		entry.relay.close();
 		this.entries.splice(this.entries.indexOf(entry), 1);
 		return code;
 	}
 
-	/** Cuts zones off from the others and from the platform; an empty list heals everything. */
-	cutZones(cut: ReadonlySet<string>): void {
+	/** Partitions the given zones from all others and from the platform. An empty set removes the partition. */
+	partitionZones(isolated: ReadonlySet<string>): void {
 		for (const entry of this.entries) {
-			entry.relay.cut(source => source !== entry.zone && (cut.has(source) || cut.has(entry.zone)));
+			entry.relay.cut(source => source !== entry.zone && (isolated.has(source) || isolated.has(entry.zone)));
 		}
 
 		for (const [zone, relays] of this.#platformRelays) {
-			relays.log.cut(() => cut.has(zone));
-			relays.list.cut(() => cut.has(zone));
+			relays.log.cut(() => isolated.has(zone));
+			relays.list.cut(() => isolated.has(zone));
 		}
 	}
 
+	/**
+	 * Waits until every entry is ready and the balancer routes to all of them.
+	 * @throws {Error} After 20 s, with the last log lines of each entry.
+	 */
 	async waitUntilReady(): Promise<void> {
 		const limit = Date.now() + readyLimitMilliseconds;
 		while (Date.now() < limit) {
@@ -114,17 +123,17 @@
 		}
 
 		const logs = this.entries.map(entry => `${entry.instance}:\n${entry.program.log.slice(-10).join('\n')}`);
-		throw new Error(`the fleet isn't ready:\n${logs.join('\n')}`);
+		throw new Error(`the fleet was not ready within ${readyLimitMilliseconds} ms:\n${logs.join('\n')}`);
 	}
 
-	/** Ends every process that is left. */
+	/** Terminates all remaining processes and deletes the settings files. */
 	async stop(): Promise<void> {
 		await Promise.all(this.entries.map(async entry => {
 			entry.program.resume();
-			await entry.program.end('SIGKILL');
+			await entry.program.terminate('SIGKILL');
 			entry.relay.close();
 		}));
-		await Promise.all(this.#programs.map(async program => program.end('SIGTERM')));
+		await Promise.all(this.#programs.map(async program => program.terminate('SIGTERM')));
 		for (const relays of this.#platformRelays.values()) {
 			relays.log.close();
 			relays.list.close();
--- a/fleet/program.ts
+++ b/fleet/program.ts
@@ -1,4 +1,4 @@
-/** A program of this project as a child process of a script. */
+/** Runs a program of this project as a child process. */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {once} from 'node:events';
 import process from 'node:process';
@@ -17,9 +17,12 @@
 });
 type Ports = z.output<typeof listeningSchema>['listening'];
 
-/** Started by `start`, which waits until it listens; ended by its id. */
+/** A child process that has reported the ports it listens on. */
 export class Program {
-	/** Runs a compiled main module with Node.js; the log goes to `log`. */
+	/**
+	 * Starts a compiled main module and waits until it reports its ports.
+	 * @throws {TypeError} If the process exits first, or reports nothing within 20 s.
+	 */
 	static async start(main: string, parameters: readonly string[], environment: Readonly<Record<string, string>> = {}): Promise<Program> {
 		const file = fileURLToPath(new URL(`../${main}`, import.meta.url));
 		const child = spawn(process.execPath, [file, ...parameters], {stdio: ['ignore', 'pipe', 'pipe'], env: {...process.env, ...environment}});
@@ -35,7 +38,7 @@
 		clearTimeout(timer);
 		child.stdout.resume();
 		if (typeof line !== 'string') {
-			throw new TypeError(`${main} did not start: ${lines.join('\n')}`);
+			throw new TypeError(`${main} did not report its ports: ${lines.join('\n')}`);
 		}
 
 		return new Program(child, listeningSchema.parse(JSON.parse(line)).listening, lines);
@@ -47,31 +50,32 @@
 		return this.child.pid!;
 	}
 
-	/** What it wrote to its log so far. */
+	/** Lines written to standard error so far. */
 	get log(): readonly string[] {
 		return this.lines;
 	}
 
-	get hasEnded(): boolean {
+	get hasExited(): boolean {
 		return this.child.exitCode !== null || this.child.signalCode !== null;
 	}
 
-	/** Sends a signal and, but for a pause, waits for the end. Returns the exit code, if there is one. */
-	async end(signal: 'SIGTERM' | 'SIGKILL'): Promise<number | undefined> {
-		if (!this.hasEnded) {
-			const ended = once(this.child, 'exit');
+	/** Sends a signal and waits for the process to exit. Returns the exit code, or `undefined` if a signal ended it. */
+	async terminate(signal: 'SIGTERM' | 'SIGKILL'): Promise<number | undefined> {
+		if (!this.hasExited) {
+			const exited = once(this.child, 'exit');
 			this.child.kill(signal);
-			await ended;
+			await exited;
 		}
 
 		return this.child.exitCode ?? undefined;
 	}
 
-	/** Stops the process where it is. */
+	/** Suspends the process with SIGSTOP. */
 	pause(): void {
 		this.child.kill('SIGSTOP');
 	}
 
+	/** Resumes a suspended process. */
 	resume(): void {
 		this.child.kill('SIGCONT');
 	}
--- a/fleet/quickstart.ts
+++ b/fleet/quickstart.ts
@@ -1,16 +1,16 @@
-/** The quickstart: a small installation that serves a sample of jobs, and ends. */
+/** Quickstart: starts a small installation, submits sample jobs, prints the results and stops. */
 import {readFileSync} from 'node:fs';
 import {setTimeout as wait} from 'node:timers/promises';
 import process from 'node:process';
 import {z} from 'zod';
 import {Fleet} from './fleet.js';
-import {runToEnd} from './run-to-end.js';
-import {targetTruth} from './target-truth.js';
+import {runToCompletion} from './run-to-completion.js';
+import {fetchTargetCounters} from './fetch-target-counters.js';
 
 const command = 'src/entries/command/main.js';
 const profiles = ['examples/flight-desk.toml', 'examples/match-desk.toml'];
 const sample = 'examples/sample-jobs.jsonl';
-const endingMilliseconds = 200;
+const exitDelayMilliseconds = 200;
 
 const resultSchema = z.object({
 	line: z.int(),
@@ -34,18 +34,18 @@
 });
 try {
 	for (const file of profiles) {
-		const {output, errors} = await runToEnd(command, ['publish', file, '--log', fleet.logUrl, '--instances', fleet.instancesUrl]);
+		const {output, errors} = await runToCompletion(command, ['publish', file, '--log', fleet.logUrl, '--instances', fleet.instancesUrl]);
 		print(`savorylock publish ${file}: ${(output + errors).trim()}`);
 	}
 
-	const submitted = await runToEnd(command, ['submit', sample, '--entry', fleet.balancerUrl]);
+	const submitted = await runToCompletion(command, ['submit', sample, '--entry', fleet.balancerUrl]);
 	const results = submitted.output.trim().split('\n').map(line => resultSchema.parse(JSON.parse(line)));
 	print(`savorylock submit ${sample}: exit code ${submitted.code}\n`);
 	printTable(results);
-	await printTruth();
+	await printTargetCounters();
 } finally {
 	await fleet.stop();
-	await wait(endingMilliseconds);
+	await wait(exitDelayMilliseconds);
 }
 
 function printTable(results: readonly Result[]): void {
@@ -76,7 +76,7 @@
 	}
 }
 
-/** A job takes as long as its longest task when nothing is in the way. */
+/** Run time of a job without queueing, in milliseconds: that of its longest task. */
 function ownMilliseconds(job: Job): number {
 	return Math.max(...job.tasks.map(task => task.payload.runMilliseconds ?? 1));
 }
@@ -85,14 +85,14 @@
 	return result.verdict === 'answered' ? `answered ${result.status === 200 ? 'complete' : 'failed'}` : result.verdict;
 }
 
-async function printTruth(): Promise<void> {
+async function printTargetCounters(): Promise<void> {
 	const sums = {
 		starts: 0, doubleStarts: 0, refused: 0, unwanted: 0, stopped: 0,
 	};
-	const counts = await targetTruth(fleet);
-	for (const truth of counts.values()) {
+	const counts = await fetchTargetCounters(fleet);
+	for (const counters of counts.values()) {
 		for (const key of Object.keys(sums) as Array<keyof typeof sums>) {
-			sums[key] += truth[key];
+			sums[key] += counters[key];
 		}
 	}
 
--- a/fleet/run-to-end.ts
+++ b/fleet/run-to-completion.ts
@@ -1,14 +1,14 @@
-/** Runs a program of this project to its end. */
+/** Runs a command-line program of this project to completion. */
 import {spawn} from 'node:child_process';
 import {once} from 'node:events';
 import process from 'node:process';
 import {fileURLToPath} from 'node:url';
 
-/** What a program printed, and its exit code. */
-type Finished = {readonly code: number; readonly output: string; readonly errors: string};
+/** Exit code, standard output and standard error of a finished program. */
+type CompletedProgram = {readonly code: number; readonly output: string; readonly errors: string};
 
-/** Starts a compiled main module with parameters and, if given, standard input. */
-export async function runToEnd(main: string, parameters: readonly string[], input = ''): Promise<Finished> {
+/** Runs a compiled main module and waits for it to exit. The exit code is -1 if a signal ended it. */
+export async function runToCompletion(main: string, parameters: readonly string[], input = ''): Promise<CompletedProgram> {
 	const file = fileURLToPath(new URL(`../${main}`, import.meta.url));
 	const child = spawn(process.execPath, [file, ...parameters], {stdio: ['pipe', 'pipe', 'pipe']});
 	let output = '';
--- a/soak/all-invariants.ts
+++ b/soak/all-invariants.ts
@@ -1,26 +1,26 @@
 /** The promises that a soak checks. */
-import {AnsweredInTime} from './invariants/answered-in-time.js';
-import {ConfigurationInForce} from './invariants/configuration-in-force.js';
-import {DrainedInTime} from './invariants/drained-in-time.js';
-import {FewCrashes} from './invariants/few-crashes.js';
-import {GracefulStop} from './invariants/graceful-stop.js';
-import {NothingLeft} from './invariants/nothing-left.js';
-import {OnlyWhatWasAsked} from './invariants/only-what-was-asked.js';
-import {ServiceIsBack} from './invariants/service-is-back.js';
-import {SingleRun} from './invariants/single-run.js';
-import {TrueRefusal} from './invariants/true-refusal.js';
-import {WholeAnswer} from './invariants/whole-answer.js';
+import {TimelyAnswer} from './invariants/timely-answer.js';
+import {ConfigurationPropagation} from './invariants/configuration-propagation.js';
+import {TimelyDrain} from './invariants/timely-drain.js';
+import {CrashLimit} from './invariants/crash-limit.js';
+import {GracefulShutdown} from './invariants/graceful-shutdown.js';
+import {CleanTermination} from './invariants/clean-termination.js';
+import {RequestedTasksOnly} from './invariants/requested-tasks-only.js';
+import {ServiceRecovery} from './invariants/service-recovery.js';
+import {SingleExecution} from './invariants/single-execution.js';
+import {AccurateRejection} from './invariants/accurate-rejection.js';
+import {AccurateAnswer} from './invariants/accurate-answer.js';
 
 export const allInvariants = [
-	new SingleRun(),
-	new TrueRefusal(),
-	new WholeAnswer(),
-	new OnlyWhatWasAsked(),
-	new NothingLeft(),
-	new ConfigurationInForce(),
-	new DrainedInTime(),
-	new GracefulStop(),
-	new AnsweredInTime(),
-	new ServiceIsBack(),
-	new FewCrashes(),
+	new SingleExecution(),
+	new AccurateRejection(),
+	new AccurateAnswer(),
+	new RequestedTasksOnly(),
+	new CleanTermination(),
+	new ConfigurationPropagation(),
+	new TimelyDrain(),
+	new GracefulShutdown(),
+	new TimelyAnswer(),
+	new ServiceRecovery(),
+	new CrashLimit(),
 ];
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -104,7 +104,7 @@
 		while (job.attempts.length < attemptsOfJob) {
 			const entry = this.#chooseEntry();
 			const attempt: Attempt = {
-				entry: entry.instance, life: entry.life, sentAt: Date.now(), endedAt: undefined, outcome: undefined,
+				entry: entry.instance, life: entry.incarnation, sentAt: Date.now(), endedAt: undefined, outcome: undefined,
 			};
 			job.attempts.push(attempt);
 			const answer = await call({
@@ -141,7 +141,7 @@
 	async #probeRoutes(): Promise<void> {
 		while (!this.#isOver) {
 			const prefix = probedPrefixes[this.random.below(probedPrefixes.length)]!;
-			await Promise.all(this.entries.map(async ({instance, life, front}) => {
+			await Promise.all(this.entries.map(async ({instance, incarnation: life, front}) => {
 				const sentAt = Date.now();
 				const answer = await call({address: front, method: 'GET', path: prefix});
 				if ('status' in answer) {
--- a/soak/edge-process.ts
+++ b/soak/edge-process.ts
@@ -19,7 +19,7 @@
 const defectEvent = '"event":"errorUnhandled"';
 
 /** Where an entry lives, and what it needs from around it. */
-type EdgePlace = {
+type EdgeProcessOptions = {
 	readonly instance: string;
 	readonly zone: string;
 	readonly address: string;
@@ -32,24 +32,24 @@
 
 /** Its peers and its way to the store go through relays; callers and the balancer reach it directly. */
 export class EdgeProcess {
-	life = 0;
+	incarnation = 0;
 	readonly peers = new Relay(true, false);
 	readonly store = new Relay(false, false);
 	#child: ChildProcess | undefined;
 	#isEnding = false;
 	/** Whether this life has written anything. */
-	#hasWritten = false;
+	#hasLogged = false;
 	#front = '';
 	#ready = '';
-	#advertised = '';
+	#advertisedPeerAddress = '';
 	readonly #log: WriteStream;
 
-	constructor(readonly place: EdgePlace) {
-		this.#log = createWriteStream(join(place.folder, `${place.instance}.log`));
+	constructor(readonly options: EdgeProcessOptions) {
+		this.#log = createWriteStream(join(options.folder, `${options.instance}.log`));
 	}
 
 	get instance(): string {
-		return this.place.instance;
+		return this.options.instance;
 	}
 
 	get front(): string {
@@ -65,21 +65,21 @@
 	}
 
 	/** Where peers reach this entry. */
-	get advertised(): string {
-		return this.#advertised;
+	get advertisedPeerAddress(): string {
+		return this.#advertisedPeerAddress;
 	}
 
 	/** Opens the relays; returns where peers reach this entry. */
-	async open(): Promise<string> {
-		this.store.leadTo(this.place.storeAddress);
+	async openRelays(): Promise<string> {
+		this.store.leadTo(this.options.storeAddress);
 		await this.store.listen();
-		this.#advertised = await this.peers.listen();
-		return this.#advertised;
+		this.#advertisedPeerAddress = await this.peers.listen();
+		return this.#advertisedPeerAddress;
 	}
 
 	/** Begins a new life. */
 	async start(seeds: readonly string[]): Promise<void> {
-		const {instance, zone, address, folder, profileFolder} = this.place;
+		const {instance, zone, address, folder, profileFolder} = this.options;
 		const settings = edgeSettings({
 			instance, zone, address, storeAddress: await this.store.listen(), seeds,
 		});
@@ -89,20 +89,20 @@
 		this.#ready = settings.ready;
 		this.peers.leadTo(settings.control);
 		await this.peers.listen();
-		this.life += 1;
+		this.incarnation += 1;
 		this.#isEnding = false;
-		this.#hasWritten = false;
+		this.#hasLogged = false;
 		const environment = Object.fromEntries([...Object.entries(process.env), ['SAVORYLOCK_SETTINGS', file]]);
 		const profiling = profileFolder === undefined ? [] : ['--cpu-prof', `--cpu-prof-dir=${profileFolder}`];
-		const child = spawn(process.execPath, [`--max-old-space-size=${heapMegabytes}`, ...profiling, main, '9464', '--advertised-peers', this.#advertised], {
+		const child = spawn(process.execPath, [`--max-old-space-size=${heapMegabytes}`, ...profiling, main, '9464', '--advertised-peers', this.#advertisedPeerAddress], {
 			stdio: ['ignore', 'pipe', 'pipe'], env: environment,
 		});
 		this.#child = child;
-		this.#follow(child, this.life);
+		this.#follow(child, this.incarnation);
 	}
 
 	/** SIGTERM ends it by itself; after SIGKILL its peers are refused at once. */
-	async end(signal: 'SIGTERM' | 'SIGKILL'): Promise<void> {
+	async terminate(signal: 'SIGTERM' | 'SIGKILL'): Promise<void> {
 		const child = this.#child;
 		if (child === undefined) {
 			return;
@@ -127,17 +127,17 @@
 	 * a start it looked like an entry that ended by itself. An entry that has written a line takes it; before, nothing jumps.
 	 */
 	stepClock(): void {
-		if (this.#hasWritten) {
+		if (this.#hasLogged) {
 			this.#child?.kill('SIGUSR2');
 		}
 	}
 
 	#follow(child: ChildProcess, life: number): void {
-		const {onDefect, instance} = this.place;
+		const {onDefect, instance} = this.options;
 		for (const output of [child.stdout!, child.stderr!]) {
 			createInterface({input: output}).on('line', line => {
 				this.#log.write(`${line}\n`);
-				this.#hasWritten ||= child === this.#child;
+				this.#hasLogged ||= child === this.#child;
 				if (line.includes(defectEvent)) {
 					onDefect('defects', `${instance}: ${line}`);
 				}
--- a/soak/draw-plan.ts
+++ b/soak/generate-fault-plan.ts
@@ -12,7 +12,7 @@
 const togetherOneIn = 4;
 
 /** The same plan for the same seed; faults overlap, and one kind may come in series. */
-export function drawPlan(seed: number, milliseconds: number): readonly PlannedFault[] {
+export function generateFaultPlan(seed: number, milliseconds: number): readonly PlannedFault[] {
 	const random = new Random(seed);
 	const plan: PlannedFault[] = [];
 	const last = milliseconds - soakBounds.quietEnd;
--- a/soak/draw-pauses.ts
+++ b/soak/generate-pause-plan.ts
@@ -15,7 +15,7 @@
 const seedOffset = 2;
 
 /** In series and overlapping; every one is over before the quiet end. */
-export function drawPauses(seed: number, milliseconds: number, longestMilliseconds: number): readonly PlannedFault[] {
+export function generatePausePlan(seed: number, milliseconds: number, longestMilliseconds: number): readonly PlannedFault[] {
 	const random = new Random(seed + seedOffset);
 	const plan: PlannedFault[] = [];
 	const last = milliseconds - soakBounds.quietEnd;
--- a/soak/invariants/whole-answer.ts
+++ b/soak/invariants/accurate-answer.ts
@@ -7,7 +7,7 @@
 const crashesToGiveUp = 2;
 
 /** `complete` needs an end `done` of every task before the answer; `failed` needs a task that failed often enough, or crashed its workers. */
-export class WholeAnswer extends Invariant {
+export class AccurateAnswer extends Invariant {
 	override readonly name = 'an answer is whole and about its own job';
 	override readonly isTimed = false;
 
--- a/soak/invariants/true-refusal.ts
+++ b/soak/invariants/accurate-rejection.ts
@@ -5,7 +5,7 @@
 const refusals: ReadonlySet<number> = new Set([400, 404, 413, 429, 503]);
 
 /** A sending without an answer leaves open whether the job ran. */
-export class TrueRefusal extends Invariant {
+export class AccurateRejection extends Invariant {
 	override readonly name = 'what was refused as not run has not run';
 	override readonly isTimed = false;
 
--- a/soak/invariants/nothing-left.ts
+++ b/soak/invariants/clean-termination.ts
@@ -3,7 +3,7 @@
 import type {SoakRecord} from '../soak-record.js';
 
 /** Goes by exits, by errors that reached the top of a process, and by what workers run when all is over. */
-export class NothingLeft extends Invariant {
+export class CleanTermination extends Invariant {
 	override readonly name = 'no process ends by itself and nothing runs on for nobody';
 	override readonly isTimed = false;
 
--- a/soak/invariants/configuration-in-force.ts
+++ b/soak/invariants/configuration-propagation.ts
@@ -1,5 +1,5 @@
 /** A configuration is in force in time, and never goes back within a life of an entry. */
-import {isDisturbed} from '../disturbed.js';
+import {isDisturbed} from '../is-disturbed.js';
 import {Invariant} from '../invariant.js';
 import {soakBounds} from '../soak-bounds.js';
 import type {SoakRecord} from '../soak-record.js';
@@ -14,7 +14,7 @@
 }
 
 /** Late by entries left undisturbed: the time from the store's acceptance. Going back: never, disturbed or not. */
-export class ConfigurationInForce extends Invariant {
+export class ConfigurationPropagation extends Invariant {
 	override readonly name = 'a configuration is in force in time and never goes back';
 	override readonly isTimed = true;
 
--- a/soak/invariants/few-crashes.ts
+++ b/soak/invariants/crash-limit.ts
@@ -6,7 +6,7 @@
 const startsAfter = 3;
 
 /** After three workers have crashed under a task it isn't started three times more, by whichever entry. */
-export class FewCrashes extends Invariant {
+export class CrashLimit extends Invariant {
 	override readonly name = 'a task that crashes its workers is given up';
 	override readonly isTimed = false;
 
--- a/soak/invariants/graceful-stop.ts
+++ b/soak/invariants/graceful-shutdown.ts
@@ -1,11 +1,11 @@
 /** A graceful shutdown cuts nothing. */
-import {isDisturbed} from '../disturbed.js';
+import {isDisturbed} from '../is-disturbed.js';
 import {Invariant} from '../invariant.js';
 import {soakBounds} from '../soak-bounds.js';
 import type {SoakRecord} from '../soak-record.js';
 
 /** Callers go on using their open connections until the process is gone. Judged where nothing unplanned is near. */
-export class GracefulStop extends Invariant {
+export class GracefulShutdown extends Invariant {
 	override readonly name = 'a graceful shutdown cuts no request';
 	override readonly isTimed = true;
 
--- a/soak/invariants/only-what-was-asked.ts
+++ b/soak/invariants/requested-tasks-only.ts
@@ -3,7 +3,7 @@
 import {Invariant} from '../invariant.js';
 
 /** Compares each start with its caller's job: id, task number, payload, and a sending before it. */
-export class OnlyWhatWasAsked extends Invariant {
+export class RequestedTasksOnly extends Invariant {
 	override readonly name = 'only what callers asked for is started';
 	override readonly isTimed = false;
 
--- a/soak/invariants/service-is-back.ts
+++ b/soak/invariants/service-recovery.ts
@@ -6,7 +6,7 @@
 const leastShare = 0.9;
 
 /** Of the jobs that were first sent after the recovery time, nearly all are answered. */
-export class ServiceIsBack extends Invariant {
+export class ServiceRecovery extends Invariant {
 	override readonly name = 'service is back after the last fault';
 	override readonly isTimed = true;
 
--- a/soak/invariants/single-run.ts
+++ b/soak/invariants/single-execution.ts
@@ -3,7 +3,7 @@
 import {Invariant} from '../invariant.js';
 
 /** Goes by what workers ran, whoever ordered it. */
-export class SingleRun extends Invariant {
+export class SingleExecution extends Invariant {
 	override readonly name = 'no task runs twice at the same time';
 	override readonly isTimed = false;
 
--- a/soak/invariants/answered-in-time.ts
+++ b/soak/invariants/timely-answer.ts
@@ -1,10 +1,10 @@
 /** A caller of a sound entry has its answer, or a clear failure, within the time that it stated. */
-import {isDisturbed} from '../disturbed.js';
+import {isDisturbed} from '../is-disturbed.js';
 import {Invariant} from '../invariant.js';
 import type {SoakRecord} from '../soak-record.js';
 
 /** Judged where nothing unplanned is near. */
-export class AnsweredInTime extends Invariant {
+export class TimelyAnswer extends Invariant {
 	override readonly name = 'a sound entry answers every caller in time';
 	override readonly isTimed = true;
 
--- a/soak/invariants/drained-in-time.ts
+++ b/soak/invariants/timely-drain.ts
@@ -1,11 +1,11 @@
 /** A worker that announced its leaving gets no new tasks after a while. */
-import {isDisturbed} from '../disturbed.js';
+import {isDisturbed} from '../is-disturbed.js';
 import {Invariant} from '../invariant.js';
 import {soakBounds} from '../soak-bounds.js';
 import type {SoakRecord} from '../soak-record.js';
 
 /** Judged only where nothing unplanned was near, since an entry that is cut off can't know. */
-export class DrainedInTime extends Invariant {
+export class TimelyDrain extends Invariant {
 	override readonly name = 'a leaving worker gets no new tasks after the drain time';
 	override readonly isTimed = true;
 
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -10,7 +10,7 @@
 import {hideBin} from 'yargs/helpers';
 import {version} from '../src/entries/version.js';
 import {allInvariants} from './all-invariants.js';
-import {drawPlan} from './draw-plan.js';
+import {generateFaultPlan} from './generate-fault-plan.js';
 import {runSoak} from './run-soak.js';
 import type {SoakRecord} from './soak-record.js';
 
@@ -56,7 +56,7 @@
 		.filter(({isTimed}) => options.timed || !isTimed)
 		.map(invariant => ({name: invariant.name, violations: invariant.violations(record)}))
 		.filter(({violations}) => violations.length > 0);
-	const faults = hasFaults ? drawPlan(seed, milliseconds).length : 0;
+	const faults = hasFaults ? generateFaultPlan(seed, milliseconds).length : 0;
 	const counts = `${faults} faults, ${record.jobs.length} jobs, ${served} served, median wait ${medianWait(record)} ms, ${record.runs.length} run events`;
 	print(`seed ${seed}: ${counts}, ${found.length === 0 ? 'all promises held' : 'BROKEN'}`);
 	for (const {name, violations} of found) {
--- a/soak/run-soak.ts
+++ b/soak/run-soak.ts
@@ -2,13 +2,13 @@
 import {setTimeout as wait} from 'node:timers/promises';
 import {Random} from '../src/base/random.js';
 import {Callers} from './callers.js';
-import {drawPauses} from './draw-pauses.js';
-import {drawPlan} from './draw-plan.js';
+import {generatePausePlan} from './generate-pause-plan.js';
+import {generateFaultPlan} from './generate-fault-plan.js';
+import {FaultScheduler} from './fault-scheduler.js';
 import {FaultInjector} from './fault-injector.js';
-import {FaultStrike} from './fault-strike.js';
 import type {SoakPlan} from './soak-plan.js';
 import type {SoakRecord} from './soak-record.js';
-import {SoakWorld} from './soak-world.js';
+import {SoakEnvironment} from './soak-environment.js';
 
 const readyMilliseconds = 20_000;
 /** After the last answer: stops are on their way, and leases of what nobody stopped lapse. */
@@ -19,10 +19,10 @@
 	const record: SoakRecord = {
 		jobs: [], runs: [], probes: [], publications: [], disturbances: [], drains: [], exits: [], defects: [], leftovers: [], healedAt: 0,
 	};
-	const world = await SoakWorld.start(plan, folder, record);
+	const world = await SoakEnvironment.start(plan, folder, record);
 	const callers = new Callers(world.entries, new Random(plan.seed + 1), record, plan);
 	try {
-		const injector = new FaultInjector(world, new FaultStrike(world), record);
+		const injector = new FaultScheduler(world, new FaultInjector(world), record);
 		await injector.publish();
 		if (!await callers.waitUntilReady(readyMilliseconds)) {
 			throw new Error('the entries did not become ready');
@@ -42,7 +42,7 @@
 	return record;
 }
 
-function faultsOf({seed, milliseconds, longestPause, hasFaults}: SoakPlan): ReturnType<typeof drawPlan> {
-	const pauses = longestPause > 0 ? drawPauses(seed, milliseconds, longestPause) : [];
-	return [...(hasFaults ? drawPlan(seed, milliseconds) : []), ...pauses];
+function faultsOf({seed, milliseconds, longestPause, hasFaults}: SoakPlan): ReturnType<typeof generateFaultPlan> {
+	const pauses = longestPause > 0 ? generatePausePlan(seed, milliseconds, longestPause) : [];
+	return [...(hasFaults ? generateFaultPlan(seed, milliseconds) : []), ...pauses];
 }
--- a/soak/soak-world.ts
+++ b/soak/soak-environment.ts
@@ -14,19 +14,19 @@
 const networkOctets = 200;
 
 /** Starts everything, and ends what it started. */
-export class SoakWorld {
-	static async start(plan: SoakPlan, folder: string, record: SoakRecord): Promise<SoakWorld> {
+export class SoakEnvironment {
+	static async start(plan: SoakPlan, folder: string, record: SoakRecord): Promise<SoakEnvironment> {
 		const store = await Program.start('standins/store/main.js', []);
 		const storeAddress = `127.0.0.1:${store.ports.httpPort}`;
 		const zones = Array.from({length: plan.zones}, (_, index) => `zone-${index + 1}`);
 		const workerZones = zones.flatMap(zone => Array.from({length: plan.workersPerZone}, () => zone));
 		const host = await Program.start('standins/worker/main.js', ['--store', storeAddress, '--service', service, '--zones', workerZones.join(',')]);
-		const world = new SoakWorld(plan, store, host, entriesOf(plan, {
+		const world = new SoakEnvironment(plan, store, host, entriesOf(plan, {
 			zones, folder, storeAddress, record,
 		}));
 		try {
 			await world.#openWorkers();
-			const seeds = await Promise.all(world.entries.map(async entry => entry.open()));
+			const seeds = await Promise.all(world.entries.map(async entry => entry.openRelays()));
 			await Promise.all(world.entries.map(async entry => entry.start(seeds.slice(0, 3))));
 		} catch (error) {
 			await world.stop();
@@ -51,7 +51,7 @@
 
 	/** Starts a further life of an entry. */
 	async restart(entry: EdgeProcess): Promise<void> {
-		await entry.start(this.entries.slice(0, 3).map(seed => seed.advertised));
+		await entry.start(this.entries.slice(0, 3).map(seed => seed.advertisedPeerAddress));
 	}
 
 	async failStore(fault: Readonly<Record<string, unknown>>): Promise<void> {
@@ -87,8 +87,8 @@
 
 		// A profile is written only by a process that ends by itself.
 		const signal = this.plan.profileFolder === undefined ? 'SIGKILL' : 'SIGTERM';
-		await Promise.all(this.entries.map(async entry => entry.end(signal)));
-		await Promise.all([this.store, this.host].map(async program => program.end('SIGKILL')));
+		await Promise.all(this.entries.map(async entry => entry.terminate(signal)));
+		await Promise.all([this.store, this.host].map(async program => program.terminate('SIGKILL')));
 		for (const relay of this.workerRelays) {
 			relay.close();
 		}
--- a/test/soak/draw-pauses.test.ts
+++ b/test/soak/generate-pause-plan.test.ts
@@ -1,16 +1,16 @@
 /** Plans of pauses. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {drawPauses} from '../../soak/draw-pauses.js';
+import {generatePausePlan} from '../../soak/generate-pause-plan.js';
 import {pauseKinds} from '../../soak/pause-kinds.js';
 
 test('a seed always gives the same pauses, and another one others', () => {
-	assert.deepEqual(drawPauses(7, 60_000, 16_000), drawPauses(7, 60_000, 16_000));
-	assert.notDeepEqual(drawPauses(7, 60_000, 16_000), drawPauses(8, 60_000, 16_000));
+	assert.deepEqual(generatePausePlan(7, 60_000, 16_000), generatePausePlan(7, 60_000, 16_000));
+	assert.notDeepEqual(generatePausePlan(7, 60_000, 16_000), generatePausePlan(8, 60_000, 16_000));
 });
 
 test('fifty seeds have pauses of every length, with every fault beside them, and all are over before the quiet end', () => {
-	const plans = Array.from({length: 50}, (_, seed) => drawPauses(seed, 90_000, 40_000));
+	const plans = Array.from({length: 50}, (_, seed) => generatePausePlan(seed, 90_000, 40_000));
 	const faults = plans.flat();
 	assert.deepEqual([...new Set(faults.map(({kind}) => kind))].sort(), [...new Set(Object.values(pauseKinds).flat())].sort());
 	assert.equal(faults.every(({at, lasts}) => at + lasts <= 81_000), true);
