--- a/soak/all-invariants.ts
+++ b/soak/all-invariants.ts
@@ -1,4 +1,4 @@
-/** The promises that a soak checks. */
+/** All invariants that a soak checks. */
 import {TimelyAnswer} from './invariants/timely-answer.js';
 import {ConfigurationPropagation} from './invariants/configuration-propagation.js';
 import {TimelyDrain} from './invariants/timely-drain.js';
--- a/soak/attempt.ts
+++ b/soak/attempt.ts
@@ -1,6 +1,6 @@
-/** One sending of a job to one entry, as its caller saw it. */
+/** One request that submits a job to an entry, as recorded by the caller. */
 
-/** Wall time in milliseconds. `life` numbers the entry's processes, from 1. */
+/** Times are wall-clock milliseconds. `life` is the incarnation of the entry process, starting at 1. */
 export type Attempt = {
 	readonly entry: string;
 	readonly life: number;
@@ -9,7 +9,10 @@
 	outcome: AttemptOutcome | undefined;
 };
 
-/** `broken`: the connection ended without a whole answer; `expired`: the caller stopped waiting; `left`: it hung up before. */
+/**
+ * `broken`: the connection failed before a complete response; `expired`: the caller timed out; `left`: the caller
+ * disconnected before its timeout.
+ */
 type AttemptOutcome =
 	| {readonly kind: 'answer'; readonly status: number; readonly state: string | undefined}
 	| {readonly kind: 'broken'; readonly detail: string}
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -1,4 +1,4 @@
-/** The callers of a soak. */
+/** Generates the job traffic of a soak. */
 import {Agent, request} from 'node:http';
 import {setTimeout as wait} from 'node:timers/promises';
 import type {Random} from '../src/base/random.js';
@@ -11,63 +11,71 @@
 import type {SoakRecord} from './soak-record.js';
 import {soakHost} from './soak-host.js';
 
-const attemptsOfJob = 3;
-const mostTasks = 4;
+const maximumAttempts = 3;
+const maximumTasks = 4;
 const shortestMilliseconds = 30;
 const longestMilliseconds = 250;
-/** One job in so many can never be done. */
-const hopelessOneIn = 40;
-/** Where entries pause, so many jobs run for up to so long; half of their callers hang up at a time of their own. */
+/** One job in this many has a payload that always fails. */
+const failingOneIn = 40;
+/** In soaks with pauses, one job in this many is long, and half of the callers of long jobs disconnect at a random time. */
 const longOneIn = 12;
 const longJobMilliseconds = 3000;
-const longPatienceMilliseconds = 20_000;
-const longHangUpMilliseconds = 3000;
+const longTimeoutMilliseconds = 20_000;
+const longDisconnectMilliseconds = 3000;
 const readinessMilliseconds = 250;
 const probeMilliseconds = 150;
-/** Callers wait a little longer than they say, for the way back. */
-const graceMilliseconds = 150;
-/** Callers that share their connections. */
-const connectionGroups = 6;
+/** Time that callers wait beyond their stated deadline, for the response to arrive. */
+const responseMarginMilliseconds = 150;
+/** Number of connection pools that callers share. */
+const connectionPools = 6;
 const probedPrefixes = ['/base/', '/one/', '/two/', '/three/'];
-const statusLost: ReadonlySet<number> = new Set([502, 504]);
-
-/** Without an agent, on a connection of its own. */
-type Call = {readonly agent?: Agent; readonly address: string; readonly method: 'GET' | 'POST'; readonly path: string; readonly body?: string; readonly patience?: number; readonly hangsUpAfter?: number | undefined};
+const lostStatuses: ReadonlySet<number> = new Set([502, 504]);
+
+/** An HTTP request; without an agent it uses its own connection. Times are in milliseconds. */
+type Call = {
+	readonly agent?: Agent;
+	readonly address: string;
+	readonly method: 'GET' | 'POST';
+	readonly path: string;
+	readonly body?: string;
+	readonly timeout?: number;
+	readonly disconnectsAfter?: number | undefined;
+};
 type Answer = {readonly status: number; readonly body: string} | {readonly failure: string};
 
 /**
- * Send jobs to entries that say they are ready, keep their connections, and send a job again after a loss, to any entry.
- * Beside that each entry is asked what routes it has.
+ * Submits jobs to ready entries over keep-alive connections, and submits a job again, to any ready entry, if its answer is
+ * lost. Also probes every entry for its routes.
  */
 export class Callers {
-	readonly #agents = Array.from({length: connectionGroups}, () => new Agent({keepAlive: true}));
-	readonly #open = new Set<Promise<void>>();
+	readonly #agents = Array.from({length: connectionPools}, () => new Agent({keepAlive: true}));
+	readonly #pending = new Set<Promise<void>>();
 	#ready: readonly EdgeProcess[] = [];
-	#isOver = false;
+	#isFinished = false;
 	#jobs = 0;
 
 	constructor(
 		private readonly entries: readonly EdgeProcess[],
 		private readonly random: Random,
 		private readonly record: SoakRecord,
-		private readonly plan: Pick<SoakPlan, 'crashingOneIn' | 'longestPause'>,
+		private readonly plan: Pick<SoakPlan, 'crashingOneIn' | 'longestPauseMilliseconds'>,
 	) {}
 
-	/** Sends jobs at a mean rate for so long, then waits for the last answers. */
-	async play(milliseconds: number, jobsPerSecond: number): Promise<void> {
-		const watching = Promise.all([this.#watchReadiness(), this.#probeRoutes()]);
+	/** Submits jobs at a mean rate for the given time, then waits for the remaining answers. */
+	async run(milliseconds: number, jobsPerSecond: number): Promise<void> {
+		const monitoring = Promise.all([this.#watchReadiness(), this.#probeRoutes()]);
 		const endsAt = Date.now() + milliseconds;
 		while (Date.now() < endsAt) {
-			this.#open.add(this.#submit());
+			this.#pending.add(this.#submit());
 			await wait(this.random.below(2000 / jobsPerSecond));
 		}
 
-		await Promise.all(this.#open);
-		this.#isOver = true;
-		await watching;
+		await Promise.all(this.#pending);
+		this.#isFinished = true;
+		await monitoring;
 	}
 
-	/** Waits until an entry is ready. */
+	/** Waits until all entries are ready; returns whether they were within the limit. */
 	async waitUntilReady(limitMilliseconds: number): Promise<boolean> {
 		const limit = Date.now() + limitMilliseconds;
 		while (Date.now() < limit) {
@@ -82,6 +90,7 @@
 		return false;
 	}
 
+	/** Closes all connections. */
 	dispose(): void {
 		for (const agent of this.#agents) {
 			agent.destroy();
@@ -90,33 +99,42 @@
 
 	async #submit(): Promise<void> {
 		this.#jobs += 1;
-		const group = this.#agents[this.random.below(connectionGroups)]!;
-		const isLong = this.plan.longestPause > 0 && this.random.below(longOneIn) === 0;
+		const agent = this.#agents[this.random.below(connectionPools)]!;
+		const isLong = this.plan.longestPauseMilliseconds > 0 && this.random.below(longOneIn) === 0;
 		const milliseconds = (isLong ? longestMilliseconds : shortestMilliseconds) + this.random.below(isLong ? longJobMilliseconds : longestMilliseconds - shortestMilliseconds);
-		const patience = isLong ? longPatienceMilliseconds : soakBounds.patience;
-		const isHopeless = this.random.below(hopelessOneIn) === 0;
+		const timeout = isLong ? longTimeoutMilliseconds : soakBounds.callerTimeout;
+		const isFailing = this.random.below(failingOneIn) === 0;
 		const isCrashing = this.plan.crashingOneIn > 0 && this.#jobs % this.plan.crashingOneIn === 0;
 		const job = {
-			id: this.#jobs.toString(16).padStart(16, '0'), tasks: 1 + this.random.below(mostTasks), payload: isCrashing ? crashingPayload : (isHopeless ? 'hopeless' : String(milliseconds)), attempts: [] as Attempt[],
+			id: this.#jobs.toString(16).padStart(16, '0'),
+			tasks: 1 + this.random.below(maximumTasks),
+			payload: isCrashing ? crashingPayload : (isFailing ? 'hopeless' : String(milliseconds)),
+			attempts: [] as Attempt[],
 		};
 		this.record.jobs.push(job);
 		const body = jobBody({tasks: job.tasks, payload: job.payload, expectedMilliseconds: milliseconds});
-		while (job.attempts.length < attemptsOfJob) {
+		while (job.attempts.length < maximumAttempts) {
 			const entry = this.#chooseEntry();
 			const attempt: Attempt = {
 				entry: entry.instance, life: entry.incarnation, sentAt: Date.now(), endedAt: undefined, outcome: undefined,
 			};
 			job.attempts.push(attempt);
 			const answer = await call({
-				agent: group, address: entry.front, method: 'POST', path: `/base/${job.id}`, body, patience, hangsUpAfter: isLong && this.random.below(2) === 0 ? shortestMilliseconds + this.random.below(longHangUpMilliseconds) : undefined,
+				agent,
+				address: entry.front,
+				method: 'POST',
+				path: `/base/${job.id}`,
+				body,
+				timeout,
+				disconnectsAfter: isLong && this.random.below(2) === 0 ? shortestMilliseconds + this.random.below(longDisconnectMilliseconds) : undefined,
 			});
 			attempt.endedAt = Date.now();
 			attempt.outcome = outcomeOf(answer);
-			if (!isLost(attempt)) {
+			if (!isAnswerLost(attempt)) {
 				return;
 			}
 
-			await wait(soakBounds.resubmission);
+			await wait(soakBounds.resubmissionDelay);
 		}
 	}
 
@@ -126,7 +144,7 @@
 	}
 
 	async #watchReadiness(): Promise<void> {
-		while (!this.#isOver) {
+		while (!this.#isFinished) {
 			const ready = await Promise.all(this.entries.map(async entry => this.#isReady(entry)));
 			this.#ready = this.entries.filter((_, index) => ready[index]);
 			await wait(readinessMilliseconds);
@@ -139,7 +157,7 @@
 	}
 
 	async #probeRoutes(): Promise<void> {
-		while (!this.#isOver) {
+		while (!this.#isFinished) {
 			const prefix = probedPrefixes[this.random.below(probedPrefixes.length)]!;
 			await Promise.all(this.entries.map(async ({instance, incarnation: life, front}) => {
 				const sentAt = Date.now();
@@ -155,8 +173,8 @@
 	}
 }
 
-function isLost({outcome}: Attempt): boolean {
-	return outcome?.kind !== 'answer' || statusLost.has(outcome.status);
+function isAnswerLost({outcome}: Attempt): boolean {
+	return outcome?.kind !== 'answer' || lostStatuses.has(outcome.status);
 }
 
 function outcomeOf(answer: Answer): Attempt['outcome'] {
@@ -171,12 +189,12 @@
 	try {
 		return (JSON.parse(body) as {readonly state?: string}).state;
 	} catch {
-		// An answer that can't be read has no state; the invariants count it as none.
+		// The invariants treat an unparsable answer as one without a state.
 		return undefined;
 	}
 }
 
-async function call({agent, address, method, path, body = '', patience = soakBounds.patience, hangsUpAfter}: Call): Promise<Answer> {
+async function call({agent, address, method, path, body = '', timeout = soakBounds.callerTimeout, disconnectsAfter}: Call): Promise<Answer> {
 	return new Promise(resolve => {
 		const [host, port] = address.split(':');
 		const outgoing = request({
@@ -186,13 +204,13 @@
 			method,
 			path,
 			headers: {
-				host: soakHost, 'content-type': 'application/json', 'content-length': body.length, 'deadline-ms': patience,
+				host: soakHost, 'content-type': 'application/json', 'content-length': body.length, 'deadline-ms': timeout,
 			},
 		});
 		const timer = setTimeout(() => {
-			resolve({failure: hangsUpAfter === undefined ? 'expired' : 'left'});
+			resolve({failure: disconnectsAfter === undefined ? 'expired' : 'left'});
 			outgoing.destroy();
-		}, hangsUpAfter ?? patience + graceMilliseconds);
+		}, disconnectsAfter ?? timeout + responseMarginMilliseconds);
 		const fail = (error: Error) => {
 			clearTimeout(timer);
 			resolve({failure: error.message});
--- a/soak/edge-process.ts
+++ b/soak/edge-process.ts
@@ -1,4 +1,4 @@
-/** One entry of a soak: its process, life after life, and the relays around it. */
+/** Runs one entry of a soak, with the relays in front of it, across restarts. */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {once} from 'node:events';
 import {createWriteStream, type WriteStream, writeFileSync} from 'node:fs';
@@ -11,14 +11,11 @@
 
 const main = fileURLToPath(new URL('stepped-edge.js', import.meta.url));
 const heapMegabytes = 96;
-/**
- * Node.js itself can't take a signal while it starts, which takes tens of milliseconds, and more on a busy machine: an end by
- * SIGHUP within this time is no defect.
- */
-const bootMilliseconds = 1000;
+/** Node.js can't handle signals while it starts, so a termination by SIGHUP within this time is no defect. */
+const startupMilliseconds = 1000;
 const defectEvent = '"event":"errorUnhandled"';
 
-/** Where an entry lives, and what it needs from around it. */
+/** Identity of an entry and the services it uses. */
 type EdgeProcessOptions = {
 	readonly instance: string;
 	readonly zone: string;
@@ -26,18 +23,19 @@
 	readonly storeAddress: string;
 	readonly folder: string;
 	readonly profileFolder: string | undefined;
-	/** Told of a process that ended though nobody ended it, and of errors that reached its top. */
+	/** Called for each unexpected exit (`exits`) and each unhandled error (`defects`). */
 	readonly onDefect: (kind: 'exits' | 'defects', detail: string) => void;
 };
 
-/** Its peers and its way to the store go through relays; callers and the balancer reach it directly. */
+/** Connections from peers and to the store go through relays; callers connect to the process directly. */
 export class EdgeProcess {
+	/** Number of starts so far. */
 	incarnation = 0;
 	readonly peers = new Relay(true, false);
 	readonly store = new Relay(false, false);
 	#child: ChildProcess | undefined;
-	#isEnding = false;
-	/** Whether this life has written anything. */
+	#isTerminating = false;
+	/** Whether the current process has written a line, which shows that its signal handlers are installed. */
 	#hasLogged = false;
 	#front = '';
 	#ready = '';
@@ -52,24 +50,26 @@
 		return this.options.instance;
 	}
 
+	/** `IP:port` of the interface for callers. */
 	get front(): string {
 		return this.#front;
 	}
 
+	/** `IP:port` of the readiness endpoint. */
 	get ready(): string {
 		return this.#ready;
 	}
 
 	get isRunning(): boolean {
-		return this.#child !== undefined && !this.#isEnding;
+		return this.#child !== undefined && !this.#isTerminating;
 	}
 
-	/** Where peers reach this entry. */
+	/** `IP:port` of the relay that peers connect to. */
 	get advertisedPeerAddress(): string {
 		return this.#advertisedPeerAddress;
 	}
 
-	/** Opens the relays; returns where peers reach this entry. */
+	/** Opens the relays; returns the address that peers connect to. */
 	async openRelays(): Promise<string> {
 		this.store.leadTo(this.options.storeAddress);
 		await this.store.listen();
@@ -77,7 +77,7 @@
 		return this.#advertisedPeerAddress;
 	}
 
-	/** Begins a new life. */
+	/** Starts a new process. `seeds` are the peer addresses that it joins through. */
 	async start(seeds: readonly string[]): Promise<void> {
 		const {instance, zone, address, folder, profileFolder} = this.options;
 		const settings = edgeSettings({
@@ -90,7 +90,7 @@
 		this.peers.leadTo(settings.control);
 		await this.peers.listen();
 		this.incarnation += 1;
-		this.#isEnding = false;
+		this.#isTerminating = false;
 		this.#hasLogged = false;
 		const environment = Object.fromEntries([...Object.entries(process.env), ['SAVORYLOCK_SETTINGS', file]]);
 		const profiling = profileFolder === undefined ? [] : ['--cpu-prof', `--cpu-prof-dir=${profileFolder}`];
@@ -98,33 +98,33 @@
 			stdio: ['ignore', 'pipe', 'pipe'], env: environment,
 		});
 		this.#child = child;
-		this.#follow(child, this.incarnation);
+		this.#monitor(child, this.incarnation);
 	}
 
-	/** SIGTERM ends it by itself; after SIGKILL its peers are refused at once. */
+	/** Signals the process, waits for its exit and closes the relays. */
 	async terminate(signal: 'SIGTERM' | 'SIGKILL'): Promise<void> {
 		const child = this.#child;
 		if (child === undefined) {
 			return;
 		}
 
-		this.#isEnding = true;
-		const ended = once(child, 'exit');
+		this.#isTerminating = true;
+		const exited = once(child, 'exit');
 		child.kill(signal);
-		await ended;
+		await exited;
 		this.peers.close();
 		this.store.close();
 		this.#child = undefined;
 	}
 
-	/** Stops, resumes or tells the process something. */
+	/** Sends a signal, if the process is running. */
 	signal(signal: 'SIGSTOP' | 'SIGCONT' | 'SIGHUP'): void {
 		this.#child?.kill(signal);
 	}
 
 	/**
-	 * Has the time of day jump. The signal for it is the soak's own, and ends a process that can't take it yet: sent 92 ms after
-	 * a start it looked like an entry that ended by itself. An entry that has written a line takes it; before, nothing jumps.
+	 * Steps the system time of the process by SIGUSR2. Does nothing before its first line of output, since the signal would
+	 * terminate a process that has no handler yet.
 	 */
 	stepClock(): void {
 		if (this.#hasLogged) {
@@ -132,7 +132,7 @@
 		}
 	}
 
-	#follow(child: ChildProcess, life: number): void {
+	#monitor(child: ChildProcess, incarnation: number): void {
 		const {onDefect, instance} = this.options;
 		for (const output of [child.stdout!, child.stderr!]) {
 			createInterface({input: output}).on('line', line => {
@@ -146,16 +146,16 @@
 
 		const startedAt = performance.now();
 		child.on('exit', (code, signal) => {
-			if (child !== this.#child || this.#isEnding) {
+			if (child !== this.#child || this.#isTerminating) {
 				return;
 			}
 
 			this.#child = undefined;
-			if (signal !== 'SIGHUP' || performance.now() - startedAt > bootMilliseconds) {
-				onDefect('exits', `${instance}, life ${life}, ended by itself: ${String(code ?? signal)}`);
+			if (signal !== 'SIGHUP' || performance.now() - startedAt > startupMilliseconds) {
+				onDefect('exits', `${instance}, incarnation ${incarnation}, exited unexpectedly: ${String(code ?? signal)}`);
 			}
 
-			// The platform starts again what ended.
+			// The platform restarts processes that exit.
 			void this.start([]);
 		});
 	}
--- a/soak/fault-injector.ts
+++ b/soak/fault-injector.ts
@@ -1,4 +1,4 @@
-/** Carries one planned fault out, and heals it. */
+/** Injects planned faults and reverts them. */
 import {setTimeout as wait} from 'node:timers/promises';
 import {match} from 'ts-pattern';
 import type {EdgeProcess} from './edge-process.js';
@@ -11,32 +11,33 @@
 const lateMilliseconds = 3000;
 const slowness = 5;
 const restartMilliseconds = 250;
-/** Of the entries that pause at once. */
+/** Share of the entries that `entries-pause` suspends at once. */
 const pausedShare = 0.35;
 
-/** What a fault leaves to be undone. */
-type Healing = () => Promise<void> | void;
+/** Reverts a fault. */
+type Reversion = () => Promise<void> | void;
 
-/** Strikes a world. Each method of a fault returns what ends it. */
+/** Applies faults to the processes and relays of a soak. */
 export class FaultInjector {
-	constructor(private readonly world: SoakEnvironment) {}
+	constructor(private readonly environment: SoakEnvironment) {}
 
-	/** The entry that a fault strikes; none for the store's, a worker's and everybody's. */
+	/** The entry that a fault affects; `undefined` if it affects the store, a worker or all entries. */
 	entryOf({kind, index}: PlannedFault): EdgeProcess | undefined {
 		const isOfEntry = (kind.startsWith('entry-') || kind.startsWith('peers-') || kind === 'store-cut' || kind === 'store-silent');
-		return isOfEntry ? this.world.entries[index % this.world.entries.length] : undefined;
+		return isOfEntry ? this.environment.entries[index % this.environment.entries.length] : undefined;
 	}
 
-	async begin(fault: PlannedFault): Promise<Healing> {
+	/** Injects a fault and returns the function that reverts it. */
+	async inject(fault: PlannedFault): Promise<Reversion> {
 		const entry = this.entryOf(fault);
 		if (entry !== undefined) {
-			return this.#strikeEntry(fault, entry);
+			return this.#injectEntryFault(fault, entry);
 		}
 
-		return fault.kind.startsWith('worker-') ? this.#strikeWorker(fault) : this.#strikeAll(fault);
+		return fault.kind.startsWith('worker-') ? this.#injectWorkerFault(fault) : this.#injectGlobalFault(fault);
 	}
 
-	async #strikeEntry({kind}: PlannedFault, entry: EdgeProcess): Promise<Healing> {
+	async #injectEntryFault({kind}: PlannedFault, entry: EdgeProcess): Promise<Reversion> {
 		const {peers, store} = entry;
 		return match(kind)
 			.with('entry-kill', async () => this.#kill([entry]))
@@ -44,7 +45,7 @@
 			.with('entry-pause', () => pause([entry]))
 			.with('entry-hup', () => {
 				entry.signal('SIGHUP');
-				return noHealing;
+				return noReversion;
 			})
 			.with('entry-clock', () => {
 				entry.stepClock();
@@ -60,109 +61,109 @@
 			})
 			.with('peers-reset', () => {
 				peers.resetOpen();
-				return noHealing;
+				return noReversion;
 			})
 			.with('peers-silent', () => {
 				peers.loseOpen();
-				return noHealing;
+				return noReversion;
 			})
 			.with('peers-cut', () => cut(peers, true, true))
 			.with('peers-cut-inwards', () => cut(peers, true, false))
 			.with('store-cut', () => cut(store, true, true))
 			.with('store-silent', () => {
 				store.loseOpen();
-				return noHealing;
+				return noReversion;
 			})
-			.otherwise(() => noHealing);
+			.otherwise(() => noReversion);
 	}
 
-	async #strikeAll({kind, index}: PlannedFault): Promise<Healing> {
-		const {world} = this;
+	async #injectGlobalFault({kind, index}: PlannedFault): Promise<Reversion> {
+		const {environment} = this;
 		return match(kind)
-			.with('all-kill', async () => this.#kill(world.entries))
+			.with('all-kill', async () => this.#kill(environment.entries))
 			.with('entries-pause', () => pause(this.#thirdFrom(index)))
 			.with('all-reset', () => {
-				for (const {peers} of world.entries) {
+				for (const {peers} of environment.entries) {
 					peers.resetOpen();
 				}
 
-				return noHealing;
+				return noReversion;
 			})
 			.with('store-down', async () => this.#failStore({status: 503}, {status: 0}))
 			.with('store-slow', async () => this.#failStore({delayMilliseconds: slowStoreMilliseconds}, {delayMilliseconds: 0}))
 			.with('store-lost', async () => this.#failStore({lostReplies}, {lostReplies: 0}))
 			.with('store-forgets', async () => {
-				await world.failStore({dropHistoryOf: 'keyed.op'});
-				await world.failStore({dropHistoryOf: 'keyed.servers'});
-				return noHealing;
+				await environment.setStoreFault({dropHistoryOf: 'keyed.op'});
+				await environment.setStoreFault({dropHistoryOf: 'keyed.servers'});
+				return noReversion;
 			})
-			.otherwise(() => noHealing);
+			.otherwise(() => noReversion);
 	}
 
-	async #strikeWorker({kind, index}: PlannedFault): Promise<Healing> {
-		const {world} = this;
-		const worker = index % world.workerCount;
-		const relay = world.workerRelays[worker]!;
-		const fail = async (fault: Readonly<Record<string, unknown>>): Promise<Healing> => {
-			await world.failWorker(worker, fault);
-			return async () => world.failWorker(worker, {mode: 'normal', slowness: 1});
+	async #injectWorkerFault({kind, index}: PlannedFault): Promise<Reversion> {
+		const {environment} = this;
+		const worker = index % environment.workerCount;
+		const relay = environment.workerRelays[worker]!;
+		const fail = async (fault: Readonly<Record<string, unknown>>): Promise<Reversion> => {
+			await environment.setWorkerFault(worker, fault);
+			return async () => environment.setWorkerFault(worker, {mode: 'normal', slowness: 1});
 		};
 
 		return match(kind)
 			.with('worker-crash', async () => {
-				await world.crashWorker(worker);
-				return noHealing;
+				await environment.crashWorker(worker);
+				return noReversion;
 			})
 			.with('worker-cut', () => cut(relay, true, true))
 			.with('worker-reset', () => {
 				relay.resetOpen();
-				return noHealing;
+				return noReversion;
 			})
 			.with('worker-slow', async () => fail({slowness}))
 			.with('worker-late', async () => fail({mode: 'late', lateMilliseconds}))
 			.with('worker-silent', 'worker-losing', 'worker-unhealthy', 'worker-failing', 'worker-hanging', 'worker-garbled', async mode => fail({mode: mode.replace('worker-', '')}))
-			.otherwise(() => noHealing);
+			.otherwise(() => noReversion);
 	}
 
-	/** From an entry on, going round. */
+	/** About a third of the entries, starting at an index and wrapping around. */
 	#thirdFrom(index: number): readonly EdgeProcess[] {
-		const {entries} = this.world;
+		const {entries} = this.environment;
 		return Array.from({length: Math.max(1, Math.round(entries.length * pausedShare))}, (_, step) => entries[(index + step) % entries.length]!);
 	}
 
-	async #failStore(fault: Readonly<Record<string, unknown>>, healed: Readonly<Record<string, unknown>>): Promise<Healing> {
-		await this.world.failStore(fault);
-		return async () => this.world.failStore(healed);
+	async #failStore(fault: Readonly<Record<string, unknown>>, normal: Readonly<Record<string, unknown>>): Promise<Reversion> {
+		await this.environment.setStoreFault(fault);
+		return async () => this.environment.setStoreFault(normal);
 	}
 
-	/** An entry that another fault has ended already is left to that one. */
-	async #kill(entries: readonly EdgeProcess[]): Promise<Healing> {
-		const struck = entries.filter(entry => entry.isRunning);
-		await Promise.all(struck.map(async entry => entry.terminate('SIGKILL')));
+	/** Skips entries that another fault has already terminated; that fault restarts them. */
+	async #kill(entries: readonly EdgeProcess[]): Promise<Reversion> {
+		const terminated = entries.filter(entry => entry.isRunning);
+		await Promise.all(terminated.map(async entry => entry.terminate('SIGKILL')));
 		return async () => {
-			await Promise.all(struck.map(async entry => this.world.restart(entry)));
+			await Promise.all(terminated.map(async entry => this.environment.restart(entry)));
 		};
 	}
 
-	async #stop(entry: EdgeProcess): Promise<Healing> {
+	async #stop(entry: EdgeProcess): Promise<Reversion> {
 		if (!entry.isRunning) {
-			return noHealing;
+			return noReversion;
 		}
 
 		entry.signal('SIGCONT');
 		await entry.terminate('SIGTERM');
 		return async () => {
 			await wait(restartMilliseconds);
-			await this.world.restart(entry);
+			await this.environment.restart(entry);
 		};
 	}
 }
 
-function noHealing(): void {
-	// It was over at once.
+function noReversion(): void {
+	// The fault has no lasting effect.
 }
 
-function pause(entries: readonly EdgeProcess[]): Healing {
+function pause(entries: readonly EdgeProcess[]): Reversion {
 	for (const entry of entries) {
 		entry.signal('SIGSTOP');
 	}
@@ -174,11 +175,11 @@
 	};
 }
 
-function cut(relay: EdgeProcess['peers'], isFrom: boolean, isTowards: boolean): Healing {
+function cut(relay: EdgeProcess['peers'], isFrom: boolean, isTowards: boolean): Reversion {
 	relay.cut(() => isFrom, () => isTowards);
 	return () => {
 		relay.cut(() => false);
-		// A network that was cut has lost what was on its way: connections of that time don't come back.
+		// Packets sent during the cut are lost, so connections opened before its end must not resume.
 		relay.loseOpen();
 	};
 }
--- a/soak/fault-kinds.ts
+++ b/soak/fault-kinds.ts
@@ -1,6 +1,6 @@
-/** What can strike a soak. */
+/** Fault kinds of the fault schedule. */
 
-/** Faults of entries, of their connections, of the store and of workers; and what operators do. */
+/** The prefix names the affected component; `configuration` publishes new routes. */
 export const faultKinds = [
 	'entry-kill',
 	'entry-pause',
--- a/soak/fault-scheduler.ts
+++ b/soak/fault-scheduler.ts
@@ -1,44 +1,45 @@
-/** Plays a plan of faults, and notes what was disturbed when. */
+/** Runs a fault schedule and records each disturbance. */
 import {setTimeout as wait} from 'node:timers/promises';
 import type {FaultInjector} from './fault-injector.js';
 import type {PlannedFault} from './planned-fault.js';
 import type {SoakRecord} from './soak-record.js';
 import type {SoakEnvironment} from './soak-environment.js';
 
-const planned: ReadonlySet<PlannedFault['kind']> = new Set(['entry-stop', 'entry-hup', 'worker-drain', 'configuration']);
+const plannedKinds: ReadonlySet<PlannedFault['kind']> = new Set(['entry-stop', 'entry-hup', 'worker-drain', 'configuration']);
 const basePrefix = '/base/';
-/** Sets of routes beside the base route, published by turns: routes come, go, and come again. */
-const churn = [[], ['/one/'], ['/one/', '/two/'], ['/two/', '/three/'], ['/three/']];
+/** Sets of additional routes, published in turn so that routes are added, removed and added again. */
+const routeSets = [[], ['/one/'], ['/one/', '/two/'], ['/two/', '/three/'], ['/three/']];
 
-/** Faults run beside each other; the injector is done when all are healed. */
+/** Injects planned faults at their times; faults may overlap. */
 export class FaultScheduler {
 	#publications = 0;
 
-	constructor(private readonly world: SoakEnvironment, private readonly strike: FaultInjector, private readonly record: SoakRecord) {}
+	constructor(private readonly environment: SoakEnvironment, private readonly injector: FaultInjector, private readonly record: SoakRecord) {}
 
-	async play(plan: readonly PlannedFault[], startedAt: number): Promise<void> {
+	/** Injects each fault at its time after `startedAt`, and resolves when all have been reverted. */
+	async run(plan: readonly PlannedFault[], startedAt: number): Promise<void> {
 		await Promise.all(plan.map(async fault => {
 			await until(startedAt + fault.at);
-			await this.#play(fault);
+			await this.#run(fault);
 		}));
 		this.record.healedAt = Date.now();
 	}
 
-	/** Publishes one of several sets of routes; the base route stays. */
+	/** Publishes the next set of routes; the base route is always included. */
 	async publish(): Promise<void> {
-		const prefixes = [basePrefix, ...churn[this.#publications % churn.length]!];
+		const prefixes = [basePrefix, ...routeSets[this.#publications % routeSets.length]!];
 		this.#publications += 1;
-		const {version, isAccepted} = await this.world.operator.publish(prefixes);
-		// What wasn't acknowledged may be in force, or never be.
+		const {version, isAccepted} = await this.environment.operator.publish(prefixes);
+		// Without an acknowledgement it is unknown whether the change takes effect.
 		this.record.publications.push({version, ackedAt: isAccepted ? Date.now() : Number.POSITIVE_INFINITY, prefixes: new Set(prefixes)});
 	}
 
-	async #play(fault: PlannedFault): Promise<void> {
-		const {kind, lasts, index} = fault;
+	async #run(fault: PlannedFault): Promise<void> {
+		const {kind, duration, index} = fault;
 		const disturbance = {
 			kind,
-			entry: this.strike.entryOf(fault)?.instance,
-			isPlanned: planned.has(kind),
+			entry: this.injector.entryOf(fault)?.instance,
+			isPlanned: plannedKinds.has(kind),
 			isOfStore: kind.startsWith('store-'),
 			from: Date.now(),
 			to: Number.POSITIVE_INFINITY,
@@ -47,12 +48,12 @@
 		if (kind === 'configuration') {
 			await this.publish();
 		} else if (kind === 'worker-drain') {
-			const {worker, acceptedAt} = await this.world.drainWorker(index % this.world.workerCount);
+			const {worker, acceptedAt} = await this.environment.drainWorker(index % this.environment.workerCount);
 			this.record.drains.push({worker, ackedAt: acceptedAt ?? Number.POSITIVE_INFINITY});
 		} else {
-			const heal = await this.strike.begin(fault);
-			await until(disturbance.from + lasts);
-			await heal();
+			const revert = await this.injector.inject(fault);
+			await until(disturbance.from + duration);
+			await revert();
 		}
 
 		disturbance.to = Date.now();
--- a/soak/generate-pause-plan.ts
+++ b/soak/generate-pause-plan.ts
@@ -1,41 +1,42 @@
-/** Draws the pauses of a soak's entries from its seed, beside its other faults. */
+/** Generates the schedule of process pauses, and of the faults that accompany them. */
 import {Random} from '../src/base/random.js';
 import {pauseKinds} from './pause-kinds.js';
 import type {PlannedFault} from './planned-fault.js';
 import {soakBounds} from './soak-bounds.js';
 
-const quietStartMilliseconds = 2000;
+const faultFreeStartMilliseconds = 2000;
 const shortestMilliseconds = 3000;
 const meanGapMilliseconds = 2000;
-const mostCompanions = 3;
-/** What strikes beside a pause may also do so just as the entry goes on. */
-const afterMilliseconds = 300;
+const maximumCompanions = 3;
+/** A companion fault may start up to this long after the pause ends. */
+const companionDelayMilliseconds = 300;
 const shortestCompanionMilliseconds = 200;
 const longestCompanionMilliseconds = 3500;
+/** Separates this random sequence from those of the faults and the callers. */
 const seedOffset = 2;
 
-/** In series and overlapping; every one is over before the quiet end. */
+/** Deterministic for a seed. Pauses may overlap, and all faults end before the fault-free end of the soak. */
 export function generatePausePlan(seed: number, milliseconds: number, longestMilliseconds: number): readonly PlannedFault[] {
 	const random = new Random(seed + seedOffset);
 	const plan: PlannedFault[] = [];
-	const last = milliseconds - soakBounds.quietEnd;
-	const put = (kind: PlannedFault['kind'], at: number, lasts: number) => {
+	const last = milliseconds - soakBounds.faultFreeEnd;
+	const addFault = (kind: PlannedFault['kind'], at: number, duration: number) => {
 		if (at < last) {
 			plan.push({
-				kind, at, lasts: Math.min(lasts, last - at), index: random.below(1000),
+				kind, at, duration: Math.min(duration, last - at), index: random.below(1000),
 			});
 		}
 	};
 
-	for (let at = quietStartMilliseconds; at < last;) {
-		const lasts = shortestMilliseconds + random.below(Math.max(1, longestMilliseconds - shortestMilliseconds));
-		put(pauseKinds.pauses[random.below(pauseKinds.pauses.length)]!, at, lasts);
-		for (let left = random.below(mostCompanions + 1); left > 0; left -= 1) {
+	for (let at = faultFreeStartMilliseconds; at < last;) {
+		const duration = shortestMilliseconds + random.below(Math.max(1, longestMilliseconds - shortestMilliseconds));
+		addFault(pauseKinds.pauses[random.below(pauseKinds.pauses.length)]!, at, duration);
+		for (let remaining = random.below(maximumCompanions + 1); remaining > 0; remaining -= 1) {
 			const kind = pauseKinds.companions[random.below(pauseKinds.companions.length)]!;
-			put(kind, at + random.below(lasts + afterMilliseconds), shortestCompanionMilliseconds + random.below(longestCompanionMilliseconds - shortestCompanionMilliseconds));
+			addFault(kind, at + random.below(duration + companionDelayMilliseconds), shortestCompanionMilliseconds + random.below(longestCompanionMilliseconds - shortestCompanionMilliseconds));
 		}
 
-		at += random.below(lasts + (2 * meanGapMilliseconds));
+		at += random.below(duration + (2 * meanGapMilliseconds));
 	}
 
 	return plan;
--- a/soak/invariant.ts
+++ b/soak/invariant.ts
@@ -1,11 +1,13 @@
-/** A promise that can be checked on what callers, workers and operator saw. */
+/** Contract of the checks on a soak record. */
 import type {SoakRecord} from './soak-record.js';
 
-/** Holds for a whole soak or names each case in which it didn't. */
+/** A property that must hold for a whole soak. */
 export abstract class Invariant {
+	/** The property, as printed in reports. */
 	abstract readonly name: string;
-	/** Whether a busy machine alone can break it, since it names a time. */
+	/** Whether it depends on a time limit, so that an overloaded machine can violate it. */
 	abstract readonly isTimed: boolean;
 
+	/** Describes each violation; empty if the invariant holds. */
 	abstract violations(record: SoakRecord): readonly string[];
 }
--- a/soak/invariants/accurate-answer.ts
+++ b/soak/invariants/accurate-answer.ts
@@ -1,14 +1,14 @@
-/** An answer is about the caller's own job, and whole. */
+/** Checks that the state in an answer agrees with the run events of the job. */
 import type {SoakRecord} from '../soak-record.js';
 import {Invariant} from '../invariant.js';
 
-const attemptsOfTask = 3;
-/** A task under which so many workers have crashed may be given up. */
-const crashesToGiveUp = 2;
+const maximumTaskAttempts = 3;
+/** Number of crashes after which a task may be abandoned. */
+const crashLimit = 2;
 
-/** `complete` needs an end `done` of every task before the answer; `failed` needs a task that failed often enough, or crashed its workers. */
+/** `complete` requires that every task ended as `done` before the answer; `failed` requires a task that reached its limit of failures or crashes. */
 export class AccurateAnswer extends Invariant {
-	override readonly name = 'an answer is whole and about its own job';
+	override readonly name = 'an answer agrees with the run events of its job';
 	override readonly isTimed = false;
 
 	override violations({jobs, runs}: SoakRecord): readonly string[] {
@@ -30,7 +30,7 @@
 			return attempts.flatMap(({outcome, endedAt}) => {
 				const state = outcome?.kind === 'answer' && outcome.status === 200 ? outcome.state : undefined;
 				const isWrong = (state === 'complete' && own.some(counts => (counts?.done ?? Number.POSITIVE_INFINITY) > (endedAt ?? 0)))
-					|| (state === 'failed' && own.every(counts => (counts?.failed ?? 0) < attemptsOfTask && (counts?.crashed ?? 0) < crashesToGiveUp));
+					|| (state === 'failed' && own.every(counts => (counts?.failed ?? 0) < maximumTaskAttempts && (counts?.crashed ?? 0) < crashLimit));
 				return isWrong ? [`${id} was answered ${String(state)}`] : [];
 			});
 		});
--- a/soak/invariants/clean-termination.ts
+++ b/soak/invariants/clean-termination.ts
@@ -1,13 +1,13 @@
-/** No process ends or errs by itself, and nothing goes on running for nobody. */
+/** Checks for unexpected exits, unhandled errors and orphaned tasks. */
 import {Invariant} from '../invariant.js';
 import type {SoakRecord} from '../soak-record.js';
 
-/** Goes by exits, by errors that reached the top of a process, and by what workers run when all is over. */
+/** Orphaned tasks are those that still run after all callers have finished and all faults have ended. */
 export class CleanTermination extends Invariant {
-	override readonly name = 'no process ends by itself and nothing runs on for nobody';
+	override readonly name = 'no process exits unexpectedly and no task is orphaned';
 	override readonly isTimed = false;
 
 	override violations({exits, defects, leftovers}: SoakRecord): readonly string[] {
-		return [...exits, ...defects, ...leftovers.map(task => `${task} still runs`)];
+		return [...exits, ...defects, ...leftovers.map(task => `${task} is still running`)];
 	}
 }
--- a/soak/invariants/configuration-propagation.ts
+++ b/soak/invariants/configuration-propagation.ts
@@ -1,4 +1,4 @@
-/** A configuration is in force in time, and never goes back within a life of an entry. */
+/** Checks that configuration changes reach every entry in time and in order. */
 import {isDisturbed} from '../is-disturbed.js';
 import {Invariant} from '../invariant.js';
 import {soakBounds} from '../soak-bounds.js';
@@ -7,33 +7,36 @@
 type Probe = SoakRecord['probes'][number];
 type Publication = SoakRecord['publications'][number];
 
-/** An answer of 404 denies a route, 200 uses it; any other says nothing of it. */
+/** Status 404 means that the route is absent and 200 that it is present; any other status tells nothing. */
 function isAllowedBy(publication: Publication, {status, prefix}: Probe): boolean {
-	const isThere = publication.prefixes.has(prefix);
-	return isThere ? status !== 404 : status !== 200;
+	const isPresent = publication.prefixes.has(prefix);
+	return isPresent ? status !== 404 : status !== 200;
 }
 
-/** Late by entries left undisturbed: the time from the store's acceptance. Going back: never, disturbed or not. */
+/**
+ * Undisturbed entries apply a change within a time limit from its acceptance by the store. No entry process reverts to an
+ * older configuration, whether disturbed or not.
+ */
 export class ConfigurationPropagation extends Invariant {
-	override readonly name = 'a configuration is in force in time and never goes back';
+	override readonly name = 'a configuration change applies in time and is never reverted';
 	override readonly isTimed = true;
 
 	override violations(record: SoakRecord): readonly string[] {
-		return [...this.#late(record), ...this.#backwards(record)];
+		return [...this.#lateChanges(record), ...this.#reversions(record)];
 	}
 
-	#late(record: SoakRecord): readonly string[] {
+	#lateChanges(record: SoakRecord): readonly string[] {
 		const {publications, probes} = record;
 		return probes.filter(probe => {
 			const isStoreDisturbed = isDisturbed(record, probe.sentAt, probe.sentAt, ({isOfStore}) => isOfStore);
-			const bound = soakBounds.apply + (isStoreDisturbed ? soakBounds.applyStretch : 0);
-			const newest = publications.findLastIndex(({ackedAt}) => ackedAt + bound < probe.sentAt);
+			const limit = soakBounds.configurationDelay + (isStoreDisturbed ? soakBounds.configurationDelayDuringStoreFaults : 0);
+			const newest = publications.findLastIndex(({ackedAt}) => ackedAt + limit < probe.sentAt);
 			const isLate = newest !== -1 && !publications.slice(newest).some(publication => isAllowedBy(publication, probe));
 			return isLate && !isDisturbed(record, probe.sentAt, probe.sentAt, ({entry}) => entry === probe.entry || entry === undefined);
 		}).map(probe => `${probe.entry} answered ${probe.status} for ${probe.prefix} at ${probe.sentAt}`);
 	}
 
-	#backwards({publications, probes}: SoakRecord): readonly string[] {
+	#reversions({publications, probes}: SoakRecord): readonly string[] {
 		const lives = new Map<string, Probe[]>();
 		for (const probe of probes) {
 			const life = `${probe.entry}/${probe.life}`;
@@ -45,8 +48,8 @@
 			let seen = {index: 0, at: 0};
 			for (const probe of [...own].sort((left, right) => left.sentAt - right.sentAt)) {
 				const allowed = firstAllowing(publications, seen.index, probe);
-				if (allowed === -1 && probe.sentAt > seen.at + soakBounds.reorder) {
-					found.push(`${life} went back: ${probe.status} for ${probe.prefix}`);
+				if (allowed === -1 && probe.sentAt > seen.at + soakBounds.reorderTolerance) {
+					found.push(`${life} reverted to an older configuration: ${probe.status} for ${probe.prefix}`);
 				} else if (allowed > seen.index) {
 					seen = {index: allowed, at: probe.sentAt};
 				}
--- a/soak/invariants/crash-limit.ts
+++ b/soak/invariants/crash-limit.ts
@@ -1,13 +1,13 @@
-/** A task that crashes its workers is given up. */
+/** Checks that a task which repeatedly crashes workers is abandoned. */
 import type {SoakRecord} from '../soak-record.js';
 import {Invariant} from '../invariant.js';
 
-const crashesKnown = 3;
-const startsAfter = 3;
+const crashLimit = 3;
+const excessStarts = 3;
 
-/** After three workers have crashed under a task it isn't started three times more, by whichever entry. */
+/** After three crashes, a task must not be started three more times, counted across all entries. */
 export class CrashLimit extends Invariant {
-	override readonly name = 'a task that crashes its workers is given up';
+	override readonly name = 'a task that crashes its workers is abandoned';
 	override readonly isTimed = false;
 
 	override violations({runs}: SoakRecord): readonly string[] {
@@ -15,13 +15,13 @@
 		for (const {kind, how, task} of runs) {
 			const counts = tasks.get(task) ?? {crashes: 0, startsAfter: 0};
 			tasks.set(task, counts);
-			if (kind === 'start' && counts.crashes >= crashesKnown) {
+			if (kind === 'start' && counts.crashes >= crashLimit) {
 				counts.startsAfter += 1;
 			} else if (kind === 'end' && how === 'crashed') {
 				counts.crashes += 1;
 			}
 		}
 
-		return [...tasks].filter(([, counts]) => counts.startsAfter >= startsAfter).map(([task, counts]) => `${task}: ${counts.crashes} crashes`);
+		return [...tasks].filter(([, counts]) => counts.startsAfter >= excessStarts).map(([task, counts]) => `${task}: ${counts.crashes} crashes`);
 	}
 }
--- a/soak/invariants/requested-tasks-only.ts
+++ b/soak/invariants/requested-tasks-only.ts
@@ -1,10 +1,10 @@
-/** Workers run only what callers handed in, as they handed it in. */
+/** Checks that workers start only tasks that callers submitted. */
 import type {SoakRecord} from '../soak-record.js';
 import {Invariant} from '../invariant.js';
 
-/** Compares each start with its caller's job: id, task number, payload, and a sending before it. */
+/** Compares the job id, task index and payload of each start with the submitted job, which must precede the start. */
 export class RequestedTasksOnly extends Invariant {
-	override readonly name = 'only what callers asked for is started';
+	override readonly name = 'workers start only tasks that callers submitted';
 	override readonly isTimed = false;
 
 	override violations({jobs, runs}: SoakRecord): readonly string[] {
@@ -12,8 +12,8 @@
 		return runs.filter(({kind}) => kind === 'start').flatMap(({task, payload, at}) => {
 			const fields = task.split('.');
 			const job = known.get(fields[0]!);
-			const isAsked = job !== undefined && Number(fields.at(-1)) < job.tasks && job.payload === payload && (job.attempts[0]?.sentAt ?? at + 1) <= at;
-			return isAsked ? [] : [`${task} with ${payload}`];
+			const isRequested = job !== undefined && Number(fields.at(-1)) < job.tasks && job.payload === payload && (job.attempts[0]?.sentAt ?? at + 1) <= at;
+			return isRequested ? [] : [`${task} with ${payload}`];
 		});
 	}
 }
--- a/soak/invariants/single-execution.ts
+++ b/soak/invariants/single-execution.ts
@@ -1,8 +1,8 @@
-/** No task runs twice at the same time. */
+/** Checks that no task runs concurrently with itself. */
 import type {SoakRecord} from '../soak-record.js';
 import {Invariant} from '../invariant.js';
 
-/** Goes by what workers ran, whoever ordered it. */
+/** Based on the run events of all workers, whichever entry sent the task. */
 export class SingleExecution extends Invariant {
 	override readonly name = 'no task runs twice at the same time';
 	override readonly isTimed = false;
--- a/soak/invariants/timely-answer.ts
+++ b/soak/invariants/timely-answer.ts
@@ -1,11 +1,11 @@
-/** A caller of a sound entry has its answer, or a clear failure, within the time that it stated. */
+/** Checks that callers do not time out. */
 import {isDisturbed} from '../is-disturbed.js';
 import {Invariant} from '../invariant.js';
 import type {SoakRecord} from '../soak-record.js';
 
-/** Judged where nothing unplanned is near. */
+/** A healthy entry answers within the caller's deadline. Skips requests near unplanned disturbances. */
 export class TimelyAnswer extends Invariant {
-	override readonly name = 'a sound entry answers every caller in time';
+	override readonly name = 'a healthy entry answers every caller in time';
 	override readonly isTimed = true;
 
 	override violations(record: SoakRecord): readonly string[] {
--- a/soak/is-disturbed.ts
+++ b/soak/is-disturbed.ts
@@ -1,10 +1,10 @@
-/** Whether something was disturbed. */
+/** Tests whether a time range overlaps a fault or planned maintenance. */
 import {soakBounds} from './soak-bounds.js';
 import type {SoakRecord} from './soak-record.js';
 
 type Disturbance = SoakRecord['disturbances'][number];
 
-/** Whether a disturbance that matters went on from the contact time before `from` until `to`. */
-export function isDisturbed(record: SoakRecord, from: number, to: number, matters: (disturbance: Disturbance) => boolean): boolean {
-	return record.disturbances.some(disturbance => disturbance.from <= to && disturbance.to >= from - soakBounds.contact && matters(disturbance));
+/** Whether a matching disturbance was active between `from`, less the margin after disturbances, and `to`. */
+export function isDisturbed(record: SoakRecord, from: number, to: number, matches: (disturbance: Disturbance) => boolean): boolean {
+	return record.disturbances.some(disturbance => disturbance.from <= to && disturbance.to >= from - soakBounds.disturbanceMargin && matches(disturbance));
 }
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * The fault soak: real programs on loopback, faults from outside, promises checked on what callers and workers saw.
- * Exit codes: 0 all promises held, 1 one was broken.
+ * Command line of the soak: runs real processes on loopback, injects faults and checks invariants on the recorded events.
+ * Exit codes: 0 if all invariants held, 1 if one was violated.
  */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
@@ -18,38 +18,38 @@
 
 const options = yargs(hideBin(process.argv))
 	.scriptName('soak')
-	.option('seed', {type: 'number', default: 1, describe: 'draws the faults and the traffic'})
-	.option('seeds', {type: 'number', default: 1, describe: 'so many seeds, one after the other'})
-	.option('seconds', {type: 'number', default: 30, describe: 'of traffic for each seed'})
+	.option('seed', {type: 'number', default: 1, describe: 'seed of the random faults and traffic'})
+	.option('seeds', {type: 'number', default: 1, describe: 'number of consecutive seeds to run'})
+	.option('seconds', {type: 'number', default: 30, describe: 'duration of the traffic for each seed'})
 	.option('zones', {type: 'number', default: 2})
 	.option('entries', {type: 'number', default: 2, describe: 'in each zone'})
 	.option('workers', {type: 'number', default: 4, describe: 'in each zone'})
 	.option('rate', {type: 'number', default: 25, describe: 'jobs a second'})
-	.option('faults', {type: 'boolean', default: true, describe: 'without them it is a load test'})
-	.option('crashing', {type: 'number', default: 0, describe: 'one job in so many crashes each worker that starts its tasks; 0 for none'})
-	.option('pauses', {type: 'number', default: 0, describe: 'entries also pause for 3 s to so many seconds, alone and together, and callers hang up and go elsewhere; 0 for none'})
-	.option('timed', {type: 'boolean', default: true, describe: 'checks the promises that name a time, which a busy machine can break'})
-	.option('profile', {type: 'string', describe: 'a folder for V8 processor profiles of the entries, which are then ended gracefully'})
-	.option('folder', {type: 'string', default: 'target/soak', describe: 'for the entries\' logs'})
+	.option('faults', {type: 'boolean', default: true, describe: 'inject faults; without them the soak is a load test'})
+	.option('crashing', {type: 'number', default: 0, describe: 'one job in this many crashes every worker that starts its tasks; 0 for none'})
+	.option('pauses', {type: 'number', default: 0, describe: 'longest pause of an entry in seconds, from 3; callers of long jobs may also disconnect and submit elsewhere; 0 for none'})
+	.option('timed', {type: 'boolean', default: true, describe: 'check the invariants with time limits, which an overloaded machine can violate'})
+	.option('profile', {type: 'string', describe: 'folder for V8 CPU profiles of the entries, which are then stopped gracefully'})
+	.option('folder', {type: 'string', default: 'target/soak', describe: 'folder for the logs of the entries'})
 	.version(version)
 	.strict()
 	.parseSync();
 
-let isBroken = false;
+let isViolated = false;
 for (let {seed} = options; seed < options.seed + options.seeds; seed += 1) {
-	isBroken = await play(seed) || isBroken;
+	isViolated = await run(seed) || isViolated;
 }
 
-process.exit(isBroken ? 1 : 0);
+process.exit(isViolated ? 1 : 0);
 
-/** Whether a promise was broken. */
-async function play(seed: number): Promise<boolean> {
+/** Runs one soak; returns whether an invariant was violated. */
+async function run(seed: number): Promise<boolean> {
 	const folder = join(options.folder, String(seed));
 	mkdirSync(folder, {recursive: true});
 	const milliseconds = options.seconds * 1000;
 	const {zones, entries: entriesPerZone, workers: workersPerZone, rate: jobsPerSecond, faults: hasFaults, crashing: crashingOneIn} = options;
 	const record = await runSoak({
-		seed, milliseconds, zones, entriesPerZone, workersPerZone, jobsPerSecond, hasFaults, crashingOneIn, longestPause: options.pauses * 1000, profileFolder: options.profile,
+		seed, milliseconds, zones, entriesPerZone, workersPerZone, jobsPerSecond, hasFaults, crashingOneIn, longestPauseMilliseconds: options.pauses * 1000, profileFolder: options.profile,
 	}, folder);
 	const served = record.jobs.filter(({attempts}) => attempts.some(({outcome}) => outcome?.kind === 'answer' && outcome.status === 200)).length;
 	const found = allInvariants
@@ -58,9 +58,9 @@
 		.filter(({violations}) => violations.length > 0);
 	const faults = hasFaults ? generateFaultPlan(seed, milliseconds).length : 0;
 	const counts = `${faults} faults, ${record.jobs.length} jobs, ${served} served, median wait ${medianWait(record)} ms, ${record.runs.length} run events`;
-	print(`seed ${seed}: ${counts}, ${found.length === 0 ? 'all promises held' : 'BROKEN'}`);
+	print(`seed ${seed}: ${counts}, ${found.length === 0 ? 'all invariants held' : 'VIOLATED'}`);
 	for (const {name, violations} of found) {
-		print(`  not: ${name} (${violations.length})`);
+		print(`  violated: ${name} (${violations.length})`);
 		for (const violation of violations.slice(0, shownViolations)) {
 			print(`    ${violation}`);
 		}
@@ -73,7 +73,7 @@
 	return found.length > 0;
 }
 
-/** The time to the answer beyond the job's own run time, in milliseconds. */
+/** Median time to an answer in excess of the run time of the job, in milliseconds. */
 function medianWait({jobs}: SoakRecord): number {
 	const waits = jobs.flatMap(({payload, attempts}) => attempts
 		.filter(({outcome}) => outcome?.kind === 'answer' && outcome.state === 'complete')
--- a/soak/pause-kinds.ts
+++ b/soak/pause-kinds.ts
@@ -1,6 +1,6 @@
-/** What strikes a soak whose entries stand still for long. */
+/** Fault kinds of the pause schedule. */
 
-/** One entry or a third of them pause; meanwhile connections between entries break, workers are late, another entry dies. */
+/** `pauses` suspend one entry or about a third of them; `companions` are injected while entries are suspended. */
 export const pauseKinds = {
 	pauses: ['entry-pause', 'entry-pause', 'entries-pause'],
 	companions: ['all-reset', 'all-reset', 'peers-reset', 'peers-silent', 'peers-cut', 'worker-late', 'worker-silent', 'entry-kill'],
--- a/soak/planned-fault.ts
+++ b/soak/planned-fault.ts
@@ -1,11 +1,14 @@
-/** One entry of a soak's plan. */
+/** One fault in the schedule of a soak. */
 import type {faultKinds} from './fault-kinds.js';
 import type {pauseKinds} from './pause-kinds.js';
 
-/** Times in milliseconds from the start of traffic. `index` picks the entry or worker that it strikes. */
+/**
+ * `at` is in milliseconds from the start of traffic, `duration` in milliseconds. `index` selects the affected entry or
+ * worker, modulo their number.
+ */
 export type PlannedFault = {
 	readonly kind: typeof faultKinds[number] | typeof pauseKinds['pauses' | 'companions'][number];
 	readonly at: number;
-	readonly lasts: number;
+	readonly duration: number;
 	readonly index: number;
 };
--- a/soak/run-soak.ts
+++ b/soak/run-soak.ts
@@ -1,4 +1,4 @@
-/** Plays one soak from its start to its record. */
+/** Runs one soak. */
 import {setTimeout as wait} from 'node:timers/promises';
 import {Random} from '../src/base/random.js';
 import {Callers} from './callers.js';
@@ -11,38 +11,41 @@
 import {SoakEnvironment} from './soak-environment.js';
 
 const readyMilliseconds = 20_000;
-/** After the last answer: stops are on their way, and leases of what nobody stopped lapse. */
+/** Wait after the last answer, for pending cancellations to arrive and leases to expire. */
 const settleMilliseconds = 2500;
 
-/** Logs of the entries go to the folder. Everything that was started has ended when this resolves. */
+/**
+ * Writes the logs of the entries to the folder. All processes have exited when the promise settles.
+ * @throws {Error} If the entries are not ready within 20 s.
+ */
 export async function runSoak(plan: SoakPlan, folder: string): Promise<SoakRecord> {
 	const record: SoakRecord = {
 		jobs: [], runs: [], probes: [], publications: [], disturbances: [], drains: [], exits: [], defects: [], leftovers: [], healedAt: 0,
 	};
-	const world = await SoakEnvironment.start(plan, folder, record);
-	const callers = new Callers(world.entries, new Random(plan.seed + 1), record, plan);
+	const environment = await SoakEnvironment.start(plan, folder, record);
+	const callers = new Callers(environment.entries, new Random(plan.seed + 1), record, plan);
 	try {
-		const injector = new FaultScheduler(world, new FaultInjector(world), record);
-		await injector.publish();
+		const scheduler = new FaultScheduler(environment, new FaultInjector(environment), record);
+		await scheduler.publish();
 		if (!await callers.waitUntilReady(readyMilliseconds)) {
-			throw new Error('the entries did not become ready');
+			throw new Error(`the entries were not ready within ${readyMilliseconds} ms`);
 		}
 
-		const playing = callers.play(plan.milliseconds, plan.jobsPerSecond);
-		await injector.play(faultsOf(plan), Date.now());
-		await playing;
+		const traffic = callers.run(plan.milliseconds, plan.jobsPerSecond);
+		await scheduler.run(faultsOf(plan), Date.now());
+		await traffic;
 		await wait(settleMilliseconds);
-		record.leftovers = await world.running();
-		record.runs = await world.truth();
+		record.leftovers = await environment.runningTasks();
+		record.runs = await environment.runEvents();
 	} finally {
 		callers.dispose();
-		await world.stop();
+		await environment.stop();
 	}
 
 	return record;
 }
 
-function faultsOf({seed, milliseconds, longestPause, hasFaults}: SoakPlan): ReturnType<typeof generateFaultPlan> {
-	const pauses = longestPause > 0 ? generatePausePlan(seed, milliseconds, longestPause) : [];
+function faultsOf({seed, milliseconds, longestPauseMilliseconds, hasFaults}: SoakPlan): ReturnType<typeof generateFaultPlan> {
+	const pauses = longestPauseMilliseconds > 0 ? generatePausePlan(seed, milliseconds, longestPauseMilliseconds) : [];
 	return [...(hasFaults ? generateFaultPlan(seed, milliseconds) : []), ...pauses];
 }
--- a/soak/soak-bounds.ts
+++ b/soak/soak-bounds.ts
@@ -1,20 +1,25 @@
-/** The promises' times, in milliseconds; those of the settings file that the soak's entries get. */
+/** Time limits of the invariants, and timings of callers and faults. */
+
+/** In milliseconds. Where the entries' settings state the same limit, the values agree. */
 export const soakBounds = {
-	/** A change of the configuration is in force so long after the store has accepted it. */
-	apply: 2000,
-	/** Added while the store is disturbed. */
-	applyStretch: 5000,
-	/** A rule with a time holds for what was left undisturbed for so long before. */
-	contact: 3000,
-	/** Answers of one entry may be handled in another order than they were sent, within this. */
-	reorder: 250,
-	drain: 2000,
-	/** Callers submit again so long after a loss. */
-	resubmission: 1300,
-	grace: 6000,
-	/** Service is back so long after the last fault. */
-	recovery: 6000,
-	patience: 1500,
-	/** The faults end so long before the traffic, so that the recovery can be seen. */
-	quietEnd: 9000,
+	/** From the store's acceptance of a configuration change until every entry applies it. */
+	configurationDelay: 2000,
+	/** Added to `configurationDelay` while the store is disturbed. */
+	configurationDelayDuringStoreFaults: 5000,
+	/** Timed invariants are not checked until this long after a disturbance. */
+	disturbanceMargin: 3000,
+	/** An entry may handle probes sent within this time of each other in any order. */
+	reorderTolerance: 250,
+	/** From the store's acceptance of a worker's drain until the worker gets no new tasks. */
+	drainTime: 2000,
+	/** From the loss of an answer until the caller submits the job again. */
+	resubmissionDelay: 1300,
+	/** Within this time of a graceful stop, an entry must not break a request. */
+	shutdownGrace: 6000,
+	/** From the end of the last fault until jobs must be served again. */
+	recoveryTime: 6000,
+	/** Deadline that callers state for a job of ordinary length. */
+	callerTimeout: 1500,
+	/** No fault is active for this long before the traffic ends. */
+	faultFreeEnd: 9000,
 };
--- a/soak/soak-environment.ts
+++ b/soak/soak-environment.ts
@@ -1,4 +1,4 @@
-/** The processes of a soak: store, workers, entries, and the relays between them. */
+/** Runs the processes of a soak: store, workers and entries, with relays between them. */
 import process from 'node:process';
 import {request} from 'undici';
 import {Program} from '../fleet/program.js';
@@ -10,10 +10,10 @@
 import type {SoakRecord} from './soak-record.js';
 
 const service = 'service';
-/** Soaks that run beside each other differ in it. */
-const networkOctets = 200;
+/** Number of distinct loopback networks, so that concurrent soaks use different addresses. */
+const networkCount = 200;
 
-/** Starts everything, and ends what it started. */
+/** Starts and terminates the processes and relays. */
 export class SoakEnvironment {
 	static async start(plan: SoakPlan, folder: string, record: SoakRecord): Promise<SoakEnvironment> {
 		const store = await Program.start('standins/store/main.js', []);
@@ -21,19 +21,19 @@
 		const zones = Array.from({length: plan.zones}, (_, index) => `zone-${index + 1}`);
 		const workerZones = zones.flatMap(zone => Array.from({length: plan.workersPerZone}, () => zone));
 		const host = await Program.start('standins/worker/main.js', ['--store', storeAddress, '--service', service, '--zones', workerZones.join(',')]);
-		const world = new SoakEnvironment(plan, store, host, entriesOf(plan, {
+		const environment = new SoakEnvironment(plan, store, host, createEntries(plan, {
 			zones, folder, storeAddress, record,
 		}));
 		try {
-			await world.#openWorkers();
-			const seeds = await Promise.all(world.entries.map(async entry => entry.openRelays()));
-			await Promise.all(world.entries.map(async entry => entry.start(seeds.slice(0, 3))));
+			await environment.#openWorkers();
+			const seeds = await Promise.all(environment.entries.map(async entry => entry.openRelays()));
+			await Promise.all(environment.entries.map(async entry => entry.start(seeds.slice(0, 3))));
 		} catch (error) {
-			await world.stop();
+			await environment.stop();
 			throw error;
 		}
 
-		return world;
+		return environment;
 	}
 
 	readonly workerRelays: Relay[] = [];
@@ -49,16 +49,18 @@
 		return this.workerRelays.length;
 	}
 
-	/** Starts a further life of an entry. */
+	/** Starts a terminated entry again. */
 	async restart(entry: EdgeProcess): Promise<void> {
 		await entry.start(this.entries.slice(0, 3).map(seed => seed.advertisedPeerAddress));
 	}
 
-	async failStore(fault: Readonly<Record<string, unknown>>): Promise<void> {
+	/** Sets fault parameters of the stand-in store. */
+	async setStoreFault(fault: Readonly<Record<string, unknown>>): Promise<void> {
 		await post(`http://${this.storeAddress}/faults`, fault);
 	}
 
-	async failWorker(index: number, fault: Readonly<Record<string, unknown>>): Promise<void> {
+	/** Sets fault parameters of a stand-in worker. */
+	async setWorkerFault(index: number, fault: Readonly<Record<string, unknown>>): Promise<void> {
 		await post(`http://127.0.0.1:${this.host.ports.httpPorts![index]}/faults`, fault);
 	}
 
@@ -66,26 +68,28 @@
 		await post(`${this.#hostUrl}/workers/${index}/crash`, {});
 	}
 
-	/** When the store accepted the worker's report that it leaves; nothing where it didn't. */
+	/** Drains a worker. `acceptedAt` is when the store accepted the change, or `undefined` if it did not. */
 	async drainWorker(index: number): Promise<{readonly worker: string; readonly acceptedAt: number | undefined}> {
 		return await post(`${this.#hostUrl}/workers/${index}/drain`, {}) as {readonly worker: string; readonly acceptedAt: number | undefined};
 	}
 
-	/** What workers ran. */
-	async truth(): Promise<SoakRecord['runs']> {
+	/** Run events of all workers. */
+	async runEvents(): Promise<SoakRecord['runs']> {
 		return await get(`${this.#hostUrl}/truth`) as SoakRecord['runs'];
 	}
 
-	async running(): Promise<readonly string[]> {
+	/** Tasks that workers run now. */
+	async runningTasks(): Promise<readonly string[]> {
 		return await get(`${this.#hostUrl}/running`) as readonly string[];
 	}
 
+	/** Terminates all processes, including suspended ones, and closes the relays. */
 	async stop(): Promise<void> {
 		for (const entry of this.entries) {
 			entry.signal('SIGCONT');
 		}
 
-		// A profile is written only by a process that ends by itself.
+		// Node.js writes a CPU profile only on a normal exit.
 		const signal = this.plan.profileFolder === undefined ? 'SIGKILL' : 'SIGTERM';
 		await Promise.all(this.entries.map(async entry => entry.terminate(signal)));
 		await Promise.all([this.store, this.host].map(async program => program.terminate('SIGKILL')));
@@ -120,11 +124,11 @@
 	return response.body.json();
 }
 
-/** What the entries have in common. */
-type EntrySurroundings = {readonly zones: readonly string[]; readonly folder: string; readonly storeAddress: string; readonly record: SoakRecord};
+/** Settings that all entries share. */
+type SharedEntrySettings = {readonly zones: readonly string[]; readonly folder: string; readonly storeAddress: string; readonly record: SoakRecord};
 
-function entriesOf(plan: SoakPlan, {zones, folder, storeAddress, record}: EntrySurroundings): readonly EdgeProcess[] {
-	const network = process.pid % networkOctets;
+function createEntries(plan: SoakPlan, {zones, folder, storeAddress, record}: SharedEntrySettings): readonly EdgeProcess[] {
+	const network = process.pid % networkCount;
 	return zones.flatMap((zone, zoneIndex) => Array.from({length: plan.entriesPerZone}, (_, index) => new EdgeProcess({
 		instance: `${zone}-entry-${index + 1}`,
 		zone,
--- a/soak/soak-host.ts
+++ b/soak/soak-host.ts
@@ -1,2 +1,2 @@
-/** The host name of a soak's queues. */
+/** Host name in the routes and requests of a soak. */
 export const soakHost = 'soak.example';
--- a/soak/soak-plan.ts
+++ b/soak/soak-plan.ts
@@ -1,17 +1,18 @@
-/** The size of a soak. */
+/** Configuration of a soak. */
 export type SoakPlan = {
 	readonly seed: number;
+	/** Duration of the traffic. */
 	readonly milliseconds: number;
 	readonly zones: number;
 	readonly entriesPerZone: number;
 	readonly workersPerZone: number;
 	readonly jobsPerSecond: number;
-	/** Without faults a soak is a load test. */
+	/** Whether to inject faults; without them, a soak is a load test. */
 	readonly hasFaults: boolean;
-	/** Entries also pause for so long at most, and some callers hang up and go elsewhere; not where 0. */
-	readonly longestPause: number;
-	/** One job in so many crashes each worker that starts its tasks; none where 0. */
+	/** Longest pause of an entry, in milliseconds. Also enables long jobs, whose callers may disconnect; 0 disables both. */
+	readonly longestPauseMilliseconds: number;
+	/** One job in this many crashes every worker that starts its tasks; 0 for none. */
 	readonly crashingOneIn: number;
-	/** Where each entry leaves a V8 processor profile when it ends; none are taken where absent. */
+	/** Folder for V8 CPU profiles of the entries; `undefined` to take none. */
 	readonly profileFolder: string | undefined;
 };
--- a/soak/soak-record.ts
+++ b/soak/soak-record.ts
@@ -1,8 +1,8 @@
-/** Everything that a soak's callers, workers and operator saw. */
+/** Observations of the callers, workers and operator of a soak, which the invariants check. */
 import type {RunEvent} from '../standins/worker/run-event.js';
 import type {Attempt} from './attempt.js';
 
-/** A job as its caller knows it; `entries` of `attempts` are in the order of sending. */
+/** A job as submitted by its caller; `attempts` are in the order of sending. */
 type SoakJob = {
 	readonly id: string;
 	readonly tasks: number;
@@ -10,7 +10,7 @@
 	readonly attempts: Attempt[];
 };
 
-/** A question whether an entry has a route, and its answer. */
+/** Response of an entry to a request that tests whether it has a route. */
 type RouteProbe = {
 	readonly entry: string;
 	readonly life: number;
@@ -19,13 +19,10 @@
 	readonly status: number;
 };
 
-/** `ackedAt` is `Infinity` where the store's answer didn't come: it may be in force, or never be. */
+/** A configuration change. `ackedAt` is `Infinity` if the store did not acknowledge it, so that it may or may not apply. */
 type Publication = {readonly version: number; readonly ackedAt: number; readonly prefixes: ReadonlySet<string>};
 
-/**
- * A fault or planned work, from its begin to its end. `entry` is absent where it isn't one entry's own; `to` is
- * `Infinity` while it goes on.
- */
+/** A fault or planned maintenance. `entry` is `undefined` if it affects no single entry; `to` is `Infinity` while active. */
 type Disturbance = {
 	readonly kind: string;
 	readonly entry: string | undefined;
@@ -35,7 +32,7 @@
 	to: number;
 };
 
-/** Wall times in milliseconds. */
+/** Times are wall-clock milliseconds. */
 export type SoakRecord = {
 	readonly jobs: SoakJob[];
 	runs: readonly RunEvent[];
@@ -43,11 +40,12 @@
 	readonly publications: Publication[];
 	readonly disturbances: Disturbance[];
 	readonly drains: Array<{readonly worker: string; readonly ackedAt: number}>;
-	/** Processes that ended though nobody ended them. */
+	/** Unexpected process exits. */
 	readonly exits: string[];
-	/** Errors that reached the top of a process. */
+	/** Unhandled errors, as logged. */
 	readonly defects: string[];
-	/** Tasks that ran after all callers were gone and all faults were over. */
+	/** Tasks still running after all callers have finished and all faults have ended. */
 	leftovers: readonly string[];
+	/** When the last fault was reverted. */
 	healedAt: number;
 };
--- a/test/soak/short-soak.test.ts
+++ b/test/soak/short-soak.test.ts
@@ -1,4 +1,4 @@
-/** A short soak of real programs. The promises that name a time are left to runs by hand: a busy machine can break them. */
+/** A short soak of real processes, without the time limits that an overloaded machine can violate. */
 import assert from 'node:assert/strict';
 import {spawnSync} from 'node:child_process';
 import {mkdtempSync, rmSync} from 'node:fs';
@@ -7,7 +7,7 @@
 import process from 'node:process';
 import {after, test} from 'node:test';
 
-test('a short soak breaks no promise', () => {
+test('a short soak violates no invariant', () => {
 	const folder = mkdtempSync(join(tmpdir(), 'savorylock-soak-'));
 	after(() => {
 		rmSync(folder, {recursive: true});
