--- a/soak/invariants/configuration-propagation.ts
+++ b/soak/invariants/configuration-propagation.ts
@@ -37,19 +37,19 @@
 	}
 
 	#reversions({publications, probes}: SoakRecord): readonly string[] {
-		const lives = new Map<string, Probe[]>();
+		const incarnations = new Map<string, Probe[]>();
 		for (const probe of probes) {
-			const life = `${probe.entry}/${probe.life}`;
-			lives.set(life, [...lives.get(life) ?? [], probe]);
+			const incarnation = `${probe.entry}/${probe.life}`;
+			incarnations.set(incarnation, [...incarnations.get(incarnation) ?? [], probe]);
 		}
 
-		return [...lives].flatMap(([life, own]) => {
+		return [...incarnations].flatMap(([incarnation, ownProbes]) => {
 			const found: string[] = [];
 			let seen = {index: 0, at: 0};
-			for (const probe of [...own].sort((left, right) => left.sentAt - right.sentAt)) {
+			for (const probe of [...ownProbes].sort((left, right) => left.sentAt - right.sentAt)) {
 				const allowed = firstAllowing(publications, seen.index, probe);
 				if (allowed === -1 && probe.sentAt > seen.at + soakBounds.reorderTolerance) {
-					found.push(`${life} reverted to an older configuration: ${probe.status} for ${probe.prefix}`);
+					found.push(`${incarnation} reverted to an older configuration: ${probe.status} for ${probe.prefix}`);
 				} else if (allowed > seen.index) {
 					seen = {index: allowed, at: probe.sentAt};
 				}
