--- a/test/platform/listed-target.test.ts
+++ b/test/platform/listed-target.test.ts
@@ -21,8 +21,8 @@
 // Every writing of a target carries its clock: decoded one by one, thousands of targets would take most of an entry's time.
 test('an entry that differs in its number, its clock and the time that it stays slow confirms the kept one', () => {
 	const listed = listedOf(entryOf());
-	assert.equal(listed.confirm(entryOf({seq: 5, clock_ms: 2500, cold_left_ms: 0})), true);
-	assert.equal(listed.confirm(entryOf({seq: 10, clock_ms: 100_000, cold_left_ms: 0})), true);
+	assert.equal(listed.refresh(entryOf({seq: 5, clock_ms: 2500, cold_left_ms: 0})), true);
+	assert.equal(listed.refresh(entryOf({seq: 10, clock_ms: 100_000, cold_left_ms: 0})), true);
 	assert.equal(listed.sequence, 10);
 	assert.equal(JSON.parse(Buffer.from(listed.entry).toString()).seq, 10);
 });
@@ -42,11 +42,11 @@
 		{seq: 5, clock_ms: undefined},
 	];
 	for (const change of changes) {
-		assert.equal(listed.confirm(entryOf(change)), false, JSON.stringify(change));
+		assert.equal(listed.refresh(entryOf(change)), false, JSON.stringify(change));
 	}
 
 	for (const length of [0, 1, 50, entryOf().length - 1]) {
-		assert.equal(listed.confirm(entryOf().subarray(0, length)), false, `${length} bytes`);
+		assert.equal(listed.refresh(entryOf().subarray(0, length)), false, `${length} bytes`);
 	}
 
 	assert.equal(listed.sequence, 4);
@@ -55,6 +55,6 @@
 test('a kept entry without a number is confirmed by none', () => {
 	const value = entryOf();
 	const listed = new ListedTarget(listedOf(value).record, 4, Buffer.from(Buffer.from(value).toString().replace('"seq"', '"sequence"')));
-	assert.equal(listed.confirm(value), false);
+	assert.equal(listed.refresh(value), false);
 	assert.equal(listed.entry.length > 0, true);
 });
