--- a/standins/append-keyed-record.ts
+++ b/standins/append-keyed-record.ts
@@ -1,14 +1,14 @@
-/** Writes to a store's keyed topic as the platform's own programs do. */
+/** Writes records to a keyed topic of a store. */
 import {Buffer} from 'node:buffer';
 import {request} from 'undici';
 
 const lengthBytes = 4;
-/** An answer of the store may be lost. */
+/** Timeout for the response. */
 const callMilliseconds = 700;
 
 type KeyedValue = {readonly topic: string; readonly key: string; readonly value: string};
 
-/** An empty value drops the key. False where the store didn't accept, or its answer didn't come: it may be written then. */
+/** An empty value deletes the key. Returns false if the write is not confirmed; it may still have taken effect. */
 export async function appendKeyedRecord(storeAddress: string, {topic, key, value}: KeyedValue): Promise<boolean> {
 	const record = Buffer.concat([Buffer.alloc(lengthBytes), Buffer.from([Buffer.byteLength(key)]), Buffer.from(key), Buffer.from(value)]);
 	record.writeUInt32BE(record.length - lengthBytes, 0);
@@ -17,7 +17,7 @@
 		await response.body.dump();
 		return response.statusCode === 200;
 	} catch {
-		// The store is away: whoever writes decides whether to write again.
+		// The store is unavailable; the caller decides whether to retry.
 		return false;
 	}
 }
--- a/standins/balancer/load-balancer.ts
+++ b/standins/balancer/load-balancer.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the platform's balancer. */
+/** A stand-in for the platform's load balancer. */
 import {Hono} from 'hono';
 import {request} from 'undici';
 import {z} from 'zod';
@@ -12,11 +12,11 @@
 	})),
 });
 const faultSchema = z.strictObject({
-	/** Every request goes to two entries, as a balancer does that repeats what seems lost. */
+	/** Sends every request to two entries, like a balancer that retries too early. */
 	isRepeating: z.boolean().optional(),
 });
 
-/** Sends each request to the next entry that says it's ready; sends it again only where no connection was made. */
+/** Distributes requests round-robin over ready entries; retries only if the connection was refused. */
 export class LoadBalancer {
 	#ready: readonly string[] = [];
 	#next = 0;
@@ -52,7 +52,7 @@
 			const checked = await Promise.all(entries.map(async entry => await isReady(entry.address) ? [entry.address] : []));
 			this.#ready = checked.flat();
 		} catch {
-			// The list is away: the entries that were ready go on being used.
+			// The instance list is unavailable: keep using the last known ready entries.
 		}
 	}
 
@@ -67,13 +67,13 @@
 	}
 
 	async #send(headers: Record<string, string>, body: string): Promise<Response> {
-		for (const address of this.#order()) {
+		for (const address of this.#candidates()) {
 			try {
 				const response = await request(`http://${address}/v1/jobs`, {
 					method: 'POST', headers, body, headersTimeout: 0, bodyTimeout: 0,
 				});
 				const text = await response.body.text();
-				return new Response(text, {status: response.statusCode, headers: passedHeaders(response.headers)});
+				return new Response(text, {status: response.statusCode, headers: forwardedHeaders(response.headers)});
 			} catch (error) {
 				if ((error as NodeJS.ErrnoException).code !== 'ECONNREFUSED') {
 					return Response.json({detail: String(error)}, {status: 502});
@@ -84,7 +84,7 @@
 		return Response.json({detail: 'no entry is ready'}, {status: 503});
 	}
 
-	#order(): readonly string[] {
+	#candidates(): readonly string[] {
 		this.#next += 1;
 		const start = this.#next % Math.max(1, this.#ready.length);
 		return [...this.#ready.slice(start), ...this.#ready.slice(0, start)];
@@ -101,14 +101,14 @@
 	}
 }
 
-function passedHeaders(headers: Readonly<Record<string, string | string[] | undefined>>): Headers {
-	const passed = new Headers();
+function forwardedHeaders(headers: Readonly<Record<string, string | string[] | undefined>>): Headers {
+	const forwarded = new Headers();
 	for (const name of ['content-type', 'retry-after', 'savorylock-verdict']) {
 		const value = headers[name];
 		if (typeof value === 'string') {
-			passed.set(name, value);
+			forwarded.set(name, value);
 		}
 	}
 
-	return passed;
+	return forwarded;
 }
--- a/standins/balancer/main.ts
+++ b/standins/balancer/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The balancer's stand-in as a program. */
+/** Command line program of the load balancer's stand-in. */
 import process from 'node:process';
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
--- a/standins/condition-variable.ts
+++ b/standins/condition-variable.ts
@@ -1,6 +1,6 @@
-/** Calls of a stand-in that wait for something to happen. */
+/** Notification of pending calls. */
 
-/** Each wait ends with the next wake, or after its own time. */
+/** A wait ends with the next notification or after its timeout. */
 export class ConditionVariable {
 	readonly #waiting = new Set<() => void>();
 
--- a/standins/configuration-publisher.ts
+++ b/standins/configuration-publisher.ts
@@ -1,19 +1,19 @@
-/** What the platform's operator writes. */
+/** Publishes the routing configuration as an operator does. */
 import {appendKeyedRecord} from './append-keyed-record.js';
 
 const topic = 'keyed.op';
 const key = 'config';
 
-/** A published configuration. It may be in force also where the store's answer didn't come. */
+/** A published version. It may be in force even if the store didn't confirm it. */
 type Published = {readonly version: number; readonly isAccepted: boolean};
 
-/** Publishes configurations on a store. */
+/** Publishes configurations to a store. */
 export class ConfigurationPublisher {
 	#version = 0;
 
 	constructor(private readonly storeAddress: string, private readonly service: string, private readonly host: string) {}
 
-	/** Replaces the configuration by one with these path prefixes. */
+	/** Replaces the configuration by one with a route for each path prefix. */
 	async publish(prefixes: readonly string[]): Promise<Published> {
 		this.#version += 3;
 		const version = this.#version;
--- a/standins/fault-proxy.ts
+++ b/standins/fault-proxy.ts
@@ -1,4 +1,4 @@
-/** A TCP relay that can lose track of its connections. */
+/** A TCP proxy that injects network faults. */
 import {
 	connect, createServer, type AddressInfo, type Server, type Socket,
 } from 'node:net';
@@ -7,34 +7,35 @@
 
 const frameLimitBytes = 8_388_608;
 
-/** What is held back in one direction, oldest first. */
-type Held = Array<{readonly dueAt: number; readonly chunk: Uint8Array}>;
-type Pair = {readonly near: Socket; readonly far: Socket; readonly onward: Held; readonly back: Held; source: string; isLost: boolean};
+/** Delayed data of one direction, oldest first. */
+type DelayQueue = Array<{readonly dueAt: number; readonly chunk: Uint8Array}>;
+type ProxiedConnection = {readonly client: Socket; readonly upstream: Socket; readonly toUpstream: DelayQueue; readonly toClient: DelayQueue; source: string; isBlackholed: boolean};
 
 /**
- * Stands between two ends. A cut swallows what is sent and answers nothing, as a network does that is split: neither
- * end sees its connection closed. `blackholeOpenConnections` does that to the open connections only, and lets new ones work.
+ * Forwards connections to one destination. A partition drops data in transit without closing connections, like a network
+ * partition. `blackholeOpenConnections` does so for the open connections only; new ones work.
  */
 export class FaultProxy {
 	readonly #server: Server;
-	readonly #pairs = new Set<Pair>();
+	readonly #connections = new Set<ProxiedConnection>();
 	#destination: {readonly host: string; readonly port: number} | undefined;
-	#isCutFrom: ((source: string) => boolean) | undefined;
-	#isCutTowards: ((source: string) => boolean) | undefined;
+	#isDroppedFrom: ((source: string) => boolean) | undefined;
+	#isDroppedTowards: ((source: string) => boolean) | undefined;
 	#delayMilliseconds = 0;
 	#port = 0;
 
 	/**
-	 * With `isPeer`, the source of a connection is the zone that its first frame names. A relay that ends with its destination
-	 * refuses connections for good once that has refused one; else each connection is broken as long as it does.
+	 * @param readsPeerFrames Whether the source of a connection is the zone in its first frame; otherwise it is empty.
+	 * @param stopsWithDestination Whether to stop listening once the destination refuses a connection; otherwise only that
+	 * connection is closed.
 	 */
-	constructor(private readonly isPeer: boolean, private readonly endsWithDestination = true) {
-		this.#server = createServer(near => {
-			this.#accept(near);
+	constructor(private readonly readsPeerFrames: boolean, private readonly stopsWithDestination = true) {
+		this.#server = createServer(client => {
+			this.#accept(client);
 		});
 	}
 
-	/** Listens where it did before, the first time at a port that the system gives. */
+	/** Listens on an ephemeral port the first time and on the same port afterwards. Returns the address. */
 	async listen(): Promise<string> {
 		if (!this.#server.listening) {
 			await new Promise<void>((resolve, reject) => {
@@ -52,110 +53,110 @@
 		this.#destination = {host, port: Number(port)};
 	}
 
-	/** Cuts off the sources that the tests name: `from` them to the destination, and `towards` them. */
+	/** Drops data of the sources that match, from them (`from`) and to them (`towards`). */
 	partition(from: (source: string) => boolean, towards: (source: string) => boolean = from): void {
-		this.#isCutFrom = from;
-		this.#isCutTowards = towards;
+		this.#isDroppedFrom = from;
+		this.#isDroppedTowards = towards;
 	}
 
-	/** Holds everything back for so long, in order; 0 ends it. */
+	/** Delays all data in both directions, in order; 0 turns the delay off. */
 	setDelay(milliseconds: number): void {
 		this.#delayMilliseconds = milliseconds;
 	}
 
-	/** Forgets the connections that are open now. */
+	/** Drops all further data of the connections that are open now, without closing them. */
 	blackholeOpenConnections(): void {
-		for (const pair of this.#pairs) {
-			pair.isLost = true;
+		for (const connection of this.#connections) {
+			connection.isBlackholed = true;
 		}
 	}
 
-	/** Breaks the connections that are open now. */
+	/** Resets the connections that are open now. */
 	resetOpenConnections(): void {
-		for (const {near, far} of this.#pairs) {
-			near.resetAndDestroy();
-			far.resetAndDestroy();
+		for (const {client, upstream} of this.#connections) {
+			client.resetAndDestroy();
+			upstream.resetAndDestroy();
 		}
 	}
 
-	/** Refuses connections and breaks those that are open, as when the process behind it died; until it listens again. */
+	/** Refuses connections and closes open ones, as if the destination had crashed, until `listen` is called. */
 	close(): void {
 		this.#server.close();
-		for (const {near, far} of this.#pairs) {
-			near.destroy();
-			far.destroy();
+		for (const {client, upstream} of this.#connections) {
+			client.destroy();
+			upstream.destroy();
 		}
 	}
 
-	#accept(near: Socket): void {
+	#accept(client: Socket): void {
 		if (this.#destination === undefined) {
-			near.destroy();
+			client.destroy();
 			return;
 		}
 
-		const far = connect(this.#destination);
-		const pair: Pair = {
-			near, far, onward: [], back: [], source: '', isLost: false,
+		const upstream = connect(this.#destination);
+		const connection: ProxiedConnection = {
+			client, upstream, toUpstream: [], toClient: [], source: '', isBlackholed: false,
 		};
-		this.#pairs.add(pair);
-		const reader = this.isPeer ? new FrameReader(frameLimitBytes) : undefined;
-		near.on('data', (chunk: Uint8Array) => {
-			pair.source ||= reader === undefined ? '' : sourceOf(reader, chunk);
-			if (!pair.isLost && this.#isCutFrom?.(pair.source) !== true) {
-				this.#pass(pair.onward, far, chunk);
+		this.#connections.add(connection);
+		const reader = this.readsPeerFrames ? new FrameReader(frameLimitBytes) : undefined;
+		client.on('data', (chunk: Uint8Array) => {
+			connection.source ||= reader === undefined ? '' : sourceOf(reader, chunk);
+			if (!connection.isBlackholed && this.#isDroppedFrom?.(connection.source) !== true) {
+				this.#forward(connection.toUpstream, upstream, chunk);
 			}
 		});
-		far.on('data', (chunk: Uint8Array) => {
-			if (!pair.isLost && this.#isCutTowards?.(pair.source) !== true) {
-				this.#pass(pair.back, near, chunk);
+		upstream.on('data', (chunk: Uint8Array) => {
+			if (!connection.isBlackholed && this.#isDroppedTowards?.(connection.source) !== true) {
+				this.#forward(connection.toClient, client, chunk);
 			}
 		});
-		this.#joinEnds(pair);
+		this.#propagateClose(connection);
 	}
 
-	#pass(held: Held, to: Socket, chunk: Uint8Array): void {
-		if (this.#delayMilliseconds === 0 && held.length === 0) {
+	#forward(queue: DelayQueue, to: Socket, chunk: Uint8Array): void {
+		if (this.#delayMilliseconds === 0 && queue.length === 0) {
 			to.write(chunk);
 			return;
 		}
 
-		held.push({dueAt: performance.now() + this.#delayMilliseconds, chunk});
-		if (held.length === 1) {
-			this.#passLater(held, to);
+		queue.push({dueAt: performance.now() + this.#delayMilliseconds, chunk});
+		if (queue.length === 1) {
+			this.#flushLater(queue, to);
 		}
 	}
 
-	#passLater(held: Held, to: Socket): void {
+	#flushLater(queue: DelayQueue, to: Socket): void {
 		setTimeout(() => {
-			while (held.length > 0 && held[0]!.dueAt <= performance.now()) {
-				to.write(held.shift()!.chunk);
+			while (queue.length > 0 && queue[0]!.dueAt <= performance.now()) {
+				to.write(queue.shift()!.chunk);
 			}
 
-			if (held.length > 0) {
-				this.#passLater(held, to);
+			if (queue.length > 0) {
+				this.#flushLater(queue, to);
 			}
-		}, Math.max(1, held[0]!.dueAt - performance.now()));
+		}, Math.max(1, queue[0]!.dueAt - performance.now()));
 	}
 
-	/** An end of one side is passed on, unless the connection is lost. A refused destination breaks the near side. */
-	#joinEnds(pair: Pair): void {
-		const {near, far} = pair;
+	/** Propagates the close of one side to the other, unless the connection is dropped. */
+	#propagateClose(connection: ProxiedConnection): void {
+		const {client, upstream} = connection;
 		const end = (other: Socket) => {
-			this.#pairs.delete(pair);
-			if (!pair.isLost && this.#isCutFrom?.(pair.source) !== true) {
+			this.#connections.delete(connection);
+			if (!connection.isBlackholed && this.#isDroppedFrom?.(connection.source) !== true) {
 				other.destroy();
 			}
 		};
 
-		near.on('close', () => {
-			end(far);
+		client.on('close', () => {
+			end(upstream);
 		});
-		far.on('close', () => {
-			end(near);
+		upstream.on('close', () => {
+			end(client);
 		});
-		near.on('error', () => undefined);
-		far.on('error', (error: NodeJS.ErrnoException) => {
-			if (error.code === 'ECONNREFUSED' && this.endsWithDestination) {
+		client.on('error', () => undefined);
+		upstream.on('error', (error: NodeJS.ErrnoException) => {
+			if (error.code === 'ECONNREFUSED' && this.stopsWithDestination) {
 				this.#server.close();
 			}
 		});
--- a/standins/format-edge-settings.ts
+++ b/standins/format-edge-settings.ts
@@ -1,7 +1,7 @@
-/** The settings file that the platform writes for an edge daemon. */
+/** Generates the settings file of an edge daemon. */
 
-/** Times as on the users' sites; addresses of one entry. */
-type EdgePlace = {
+/** Identity and addresses of one entry. */
+type EdgeLocation = {
 	readonly instance: string;
 	readonly zone: string;
 	readonly address: string;
@@ -11,8 +11,8 @@
 
 const ports = {front: 8161, ready: 8167, control: 8166};
 
-/** The file's text, and where the entry will listen. */
-export function formatEdgeSettings({instance, zone, address, storeAddress, seeds}: EdgePlace) {
+/** Returns the text of the file and the entry's listen addresses. */
+export function formatEdgeSettings({instance, zone, address, storeAddress, seeds}: EdgeLocation) {
 	const front = `${address}:${ports.front}`;
 	const ready = `${address}:${ports.ready}`;
 	const control = `${address}:${ports.control}`;
--- a/standins/instances/instance-service.ts
+++ b/standins/instances/instance-service.ts
@@ -7,7 +7,7 @@
 
 type Change = {readonly at: number; readonly id: string; readonly row: unknown};
 
-/** Rows come and go by PUT and DELETE, and readers see them after the lag. */
+/** Changed by PUT and DELETE; readers see a change after the configured lag. */
 export class InstanceService {
 	readonly #changes: Change[] = [];
 	#isDown = false;
--- a/standins/instances/main.ts
+++ b/standins/instances/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The instance list's stand-in as a program. */
+/** Command line program of the instance list's stand-in. */
 import process from 'node:process';
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
--- a/standins/log/log-service.ts
+++ b/standins/log/log-service.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the platform's log service, with the faults that the brief tells of. */
+/** A stand-in for the platform's log service, with fault injection. */
 import {Hono} from 'hono';
 import {z} from 'zod';
 import {ConditionVariable} from '../condition-variable.js';
@@ -6,23 +6,23 @@
 const readLimitRecords = 1000;
 
 const faultSchema = z.strictObject({
-	/** Answers nothing but 503. */
+	/** Responds to every request with 503. */
 	isDown: z.boolean().optional(),
 	delayMilliseconds: z.int().min(0).optional(),
-	/** So many appends take effect, but their replies are lost. */
+	/** Number of further appends that take effect but get no response. */
 	lostReplies: z.int().min(0).optional(),
-	/** Keeps so many of the newest records of each stream. */
+	/** Maximum number of records kept per stream; older ones are trimmed. */
 	keptRecords: z.int().min(0).optional(),
-	/** Drops the newest records from this offset on, as a restored backup would. */
+	/** Deletes the records from this offset on, like restoring an older backup. */
 	truncateTo: z.int().min(0).optional(),
 });
 
 type StreamState = {firstOffset: number; records: Array<{offset: number; body: unknown}>};
 
-/** Keeps streams in memory; `/faults` breaks it on request, `/counts` tells what it was asked. */
+/** Keeps streams in memory; `/faults` injects faults, `/counts` returns the number of calls. */
 export class LogService {
 	readonly #streams = new Map<string, StreamState>();
-	readonly #waiters = new ConditionVariable();
+	readonly #appended = new ConditionVariable();
 	#isDown = false;
 	#delayMilliseconds = 0;
 	#lostReplies = 0;
@@ -43,7 +43,7 @@
 		return routes;
 	}
 
-	/** Switches faults on and off. */
+	/** Turns faults on and off; absent fields stay unchanged. */
 	injectFault(fault: z.output<typeof faultSchema>): void {
 		this.#isDown = fault.isDown ?? this.#isDown;
 		this.#delayMilliseconds = fault.delayMilliseconds ?? this.#delayMilliseconds;
@@ -69,12 +69,12 @@
 		const offset = nextOffsetOf(stream);
 		stream.records.push({offset, body});
 		this.#trim(stream);
-		this.#waiters.notifyAll();
+		this.#appended.notifyAll();
 
 		if (this.#lostReplies > 0) {
 			this.#lostReplies -= 1;
 			return new Promise(() => {
-				// The reply is lost.
+				// Simulates a lost response.
 			});
 		}
 
@@ -86,7 +86,7 @@
 		this.#reads += 1;
 		const stream = this.#streamOf(name);
 		if (!this.#isDown && from >= nextOffsetOf(stream) && wait > 0) {
-			await this.#waiters.wait(wait);
+			await this.#appended.wait(wait);
 		}
 
 		if (this.#isDown) {
--- a/standins/serialize-job.ts
+++ b/standins/serialize-job.ts
@@ -1,9 +1,9 @@
-/** A caller's job on the wire. */
+/** JSON encoding of submitted jobs. */
 
-/** A job of equal tasks. */
+/** A job of identical tasks. */
 type Job = {readonly tasks: number; readonly payload: string; readonly expectedMilliseconds: number};
 
-/** The body of a submission. */
+/** Returns the request body of a submission. */
 export function serializeJob({tasks, payload, expectedMilliseconds}: Job): string {
 	return JSON.stringify({
 		spec: payload, best_effort: true, steps: [{
--- a/standins/store/consumer-group.ts
+++ b/standins/store/consumer-group.ts
@@ -1,8 +1,8 @@
-/** A group of the store's stand-in. */
+/** A consumer group of the store's stand-in. */
 
 type GroupMember = {heardAt: number; readonly timeToLive: number; acknowledged: number};
 
-/** Deals the partitions of a topic evenly; one that its member has lost moves on when that member knows of it. */
+/** Distributes the partitions of a topic evenly; one is reassigned once its holder has acknowledged the current generation. */
 export class ConsumerGroup {
 	generation = 0;
 	readonly #members = new Map<string, GroupMember>();
@@ -10,7 +10,7 @@
 
 	constructor(private readonly partitionCount: number) {}
 
-	/** Keeps or adds a member, and returns its partitions. */
+	/** Adds a member or renews its membership, and returns its partitions. `timeToLive` and `now` are in milliseconds. */
 	join(name: string, timeToLive: number, acknowledged: number, now: number): readonly number[] {
 		this.#expire(now);
 		if (!this.#members.has(name)) {
@@ -18,8 +18,8 @@
 		}
 
 		this.#members.set(name, {heardAt: now, timeToLive, acknowledged});
-		this.#deal();
-		return [...this.#holders].filter(([partition, holder]) => holder === name && this.#wanted(partition) === name).map(([partition]) => partition);
+		this.#assign();
+		return [...this.#holders].filter(([partition, holder]) => holder === name && this.#preferredMember(partition) === name).map(([partition]) => partition);
 	}
 
 	leave(name: string): void {
@@ -35,7 +35,7 @@
 		}
 	}
 
-	/** A row for each partition; one that nobody holds has an empty name. */
+	/** A row for each partition; the name is empty if the partition is unassigned. */
 	get owners(): ReadonlyArray<readonly [number, string]> {
 		return Array.from({length: this.partitionCount}, (_, partition) => [partition, this.#holders.get(partition) ?? ''] as const);
 	}
@@ -48,18 +48,18 @@
 		}
 	}
 
-	#deal(): void {
+	#assign(): void {
 		for (let partition = 0; partition < this.partitionCount; partition += 1) {
-			const wanted = this.#wanted(partition)!;
+			const preferred = this.#preferredMember(partition)!;
 			const holder = this.#holders.get(partition);
 			const mayMove = holder === undefined || this.#members.get(holder)!.acknowledged >= this.generation;
 			if (mayMove) {
-				this.#holders.set(partition, wanted);
+				this.#holders.set(partition, preferred);
 			}
 		}
 	}
 
-	#wanted(partition: number): string | undefined {
+	#preferredMember(partition: number): string | undefined {
 		const names = [...this.#members.keys()].sort();
 		return names[partition % Math.max(1, names.length)];
 	}
--- a/standins/store/store-fault.ts
+++ b/standins/store/store-fault.ts
@@ -1,15 +1,15 @@
-/** What the store's stand-in can do wrong. */
+/** Faults of the store's stand-in. */
 import {z} from 'zod';
 
-/** Fields that are absent stay as they are. */
+/** Absent fields stay unchanged. */
 export const storeFaultSchema = z.strictObject({
-	/** Every call gets this status: 503 or 429. 0 ends it. */
+	/** Status of every response, 503 or 429; 0 turns the fault off. */
 	status: z.int().optional(),
 	delayMilliseconds: z.int().min(0).optional(),
-	/** So many calls that write are carried out, but their replies are lost. */
+	/** Number of further writes that take effect but get no response. */
 	lostReplies: z.int().min(0).optional(),
-	/** Drops all records of a topic; the newest of each key are kept. */
+	/** Trims all records of a topic; the latest value of each key is kept. */
 	dropHistoryOf: z.string().optional(),
-	/** Answers nothing that can be read. */
+	/** Responds with malformed JSON. */
 	isGarbled: z.boolean().optional(),
 });
--- a/standins/store/store-service.ts
+++ b/standins/store/store-service.ts
@@ -11,13 +11,13 @@
 
 type JoinBody = {readonly group: string; readonly member: string; readonly topics: readonly string[]; readonly ttl_ms: number; readonly generation: number};
 
-/** Speaks the store's calls; `fail` breaks it, `/faults` does so from outside. */
+/** Implements the store's HTTP interface; `injectFault` or `/faults` turns on faults. */
 export class StoreService {
-	/** Calls by path, for tests that count. */
+	/** Number of calls by path. */
 	readonly calls = new Map<string, number>();
 	readonly #topics = new Map<string, TopicLog>();
 	readonly #groups = new Map<string, ConsumerGroup>();
-	readonly #waiters = new ConditionVariable();
+	readonly #appended = new ConditionVariable();
 	#status = 0;
 	#delayMilliseconds = 0;
 	#lostReplies = 0;
@@ -31,7 +31,7 @@
 		});
 		routes.use(async (context, next) => {
 			this.calls.set(context.req.path, (this.calls.get(context.req.path) ?? 0) + 1);
-			await pause(this.#delayMilliseconds);
+			await delay(this.#delayMilliseconds);
 			if (this.#status !== 0) {
 				return context.body(null, this.#status as 503);
 			}
@@ -42,7 +42,7 @@
 
 			await next();
 		});
-		routes.get('/log-newest', context => this.#newest(context));
+		routes.get('/log-newest', context => this.#readLatest(context));
 		routes.get('/log-read', async context => this.#read(context));
 		routes.post('/log-append', async context => this.#append(context));
 		routes.post('/log-join', async context => this.#join(await context.req.json()));
@@ -58,11 +58,11 @@
 		this.#isGarbled = fault.isGarbled ?? this.#isGarbled;
 		if (fault.dropHistoryOf !== undefined) {
 			const log = this.#topicOf(fault.dropHistoryOf);
-			log.dropBefore(log.end);
+			log.dropBefore(log.endOffset);
 		}
 	}
 
-	/** Writes a keyed record as the operator or a target does. */
+	/** Appends a keyed record; an empty value deletes the key. */
 	put(topic: string, key: string, value: string): void {
 		const keyBytes = new TextEncoder().encode(key);
 		const valueBytes = new TextEncoder().encode(value);
@@ -76,23 +76,23 @@
 
 	#store(topic: string, body: Uint8Array): void {
 		this.#topicOf(topic).append(body);
-		this.#waiters.notifyAll();
+		this.#appended.notifyAll();
 	}
 
-	#newest(context: Context): Response {
+	#readLatest(context: Context): Response {
 		const log = this.#topicOf(context.req.query('topic') ?? '');
-		return context.json({items: log.newest, has_more: false, end: log.end});
+		return context.json({items: log.latest, has_more: false, end: log.endOffset});
 	}
 
 	async #read(context: Context): Promise<Response> {
 		const log = this.#topicOf(context.req.query('topic') ?? '');
 		const from = Number(context.req.query('from'));
-		if (from < log.first) {
-			return context.json({first: log.first}, 410);
+		if (from < log.firstOffset) {
+			return context.json({first: log.firstOffset}, 410);
 		}
 
-		if (from >= log.end) {
-			await this.#waiters.wait(Number(context.req.query('wait_ms') ?? 0));
+		if (from >= log.endOffset) {
+			await this.#appended.wait(Number(context.req.query('wait_ms') ?? 0));
 		}
 
 		return new Response(log.read(from) as Uint8Array<ArrayBuffer>);
@@ -102,20 +102,20 @@
 		const topic = context.req.query('topic') ?? '';
 		const log = this.#topicOf(topic);
 		const at = context.req.query('at');
-		if (at !== undefined && Number(at) !== log.end) {
-			return context.json({end: log.end}, 412);
+		if (at !== undefined && Number(at) !== log.endOffset) {
+			return context.json({end: log.endOffset}, 412);
 		}
 
-		const offset = log.end;
+		const offset = log.endOffset;
 		this.#store(topic, new Uint8Array(await context.req.arrayBuffer()));
-		return this.#replyOrLoseIt(context.json({offset, end: log.end}));
+		return this.#replyUnlessLost(context.json({offset, end: log.endOffset}));
 	}
 
 	#join({group, member, topics, ttl_ms: timeToLive, generation}: JoinBody): Response | Promise<Response> {
 		const known = this.#groups.get(group) ?? new ConsumerGroup(partitionCount);
 		this.#groups.set(group, known);
 		const partitions = known.join(member, timeToLive, generation, performance.now());
-		return this.#replyOrLoseIt(Response.json({generation: known.generation, ttl_ms: timeToLive, parts: partitions.map(partition => [topics[0], partition, 0])}));
+		return this.#replyUnlessLost(Response.json({generation: known.generation, ttl_ms: timeToLive, parts: partitions.map(partition => [topics[0], partition, 0])}));
 	}
 
 	#owners(context: Context): Response {
@@ -129,14 +129,14 @@
 		return Response.json({});
 	}
 
-	#replyOrLoseIt(reply: Response): Response | Promise<Response> {
+	#replyUnlessLost(reply: Response): Response | Promise<Response> {
 		if (this.#lostReplies === 0) {
 			return reply;
 		}
 
 		this.#lostReplies -= 1;
 		return new Promise(() => {
-			// The reply is lost.
+			// Simulates a lost response.
 		});
 	}
 
@@ -152,7 +152,7 @@
 	}
 }
 
-async function pause(milliseconds: number): Promise<void> {
+async function delay(milliseconds: number): Promise<void> {
 	if (milliseconds > 0) {
 		await new Promise(resolve => {
 			setTimeout(resolve, milliseconds);
--- a/standins/store/topic-log.ts
+++ b/standins/store/topic-log.ts
@@ -1,46 +1,46 @@
-/** One partition of a topic. */
+/** A topic with one partition. */
 import {Buffer} from 'node:buffer';
 
 const lengthBytes = 4;
 
-/** Records numbered from 0; the oldest may have been dropped, the newest of each key are kept besides. */
+/** Records numbered from 0, of which the oldest may be trimmed. A keyed topic also keeps the latest value of each key. */
 export class TopicLog {
-	#first = 0;
+	#firstOffset = 0;
 	#records: Uint8Array[] = [];
-	readonly #newest = new Map<string, {readonly value: Uint8Array; readonly offset: number}>();
+	readonly #latest = new Map<string, {readonly value: Uint8Array; readonly offset: number}>();
 
 	constructor(private readonly isKeyed: boolean) {}
 
-	get first(): number {
-		return this.#first;
+	get firstOffset(): number {
+		return this.#firstOffset;
 	}
 
-	get end(): number {
-		return this.#first + this.#records.length;
+	get endOffset(): number {
+		return this.#firstOffset + this.#records.length;
 	}
 
-	/** Keys with their newest values, in the order of the keys. */
-	get newest(): ReadonlyArray<{readonly key: string; readonly value: string; readonly offset: number}> {
-		return [...this.#newest].sort(([left], [right]) => (left < right ? -1 : 1)).map(([key, {value, offset}]) => ({key, value: Buffer.from(value).toString('base64'), offset}));
+	/** Keys with their latest values in base64, sorted by key. */
+	get latest(): ReadonlyArray<{readonly key: string; readonly value: string; readonly offset: number}> {
+		return [...this.#latest].sort(([left], [right]) => (left < right ? -1 : 1)).map(([key, {value, offset}]) => ({key, value: Buffer.from(value).toString('base64'), offset}));
 	}
 
-	/** Takes records, each behind its length of four bytes. */
+	/** Appends records, each prefixed by its length (4 bytes). */
 	append(body: Uint8Array): void {
 		const bytes = Buffer.from(body);
 		let at = 0;
 		while (at + lengthBytes <= bytes.length) {
 			const length = bytes.readUInt32BE(at);
-			this.#take(bytes.subarray(at + lengthBytes, at + lengthBytes + length));
+			this.#appendRecord(bytes.subarray(at + lengthBytes, at + lengthBytes + length));
 			at += lengthBytes + length;
 		}
 	}
 
-	/** The end and the first offset, 8 bytes each, and the records from an offset on. */
+	/** Layout: end offset and first offset (8 bytes each), then the records from an offset on, each prefixed by its length. */
 	read(from: number): Uint8Array {
 		const header = Buffer.alloc(16);
-		header.writeBigUInt64BE(BigInt(this.end), 0);
-		header.writeBigUInt64BE(BigInt(this.#first), 8);
-		const records = this.#records.slice(from - this.#first).flatMap(record => {
+		header.writeBigUInt64BE(BigInt(this.endOffset), 0);
+		header.writeBigUInt64BE(BigInt(this.#firstOffset), 8);
+		const records = this.#records.slice(from - this.#firstOffset).flatMap(record => {
 			const length = Buffer.alloc(lengthBytes);
 			length.writeUInt32BE(record.length);
 			return [length, record];
@@ -49,19 +49,19 @@
 	}
 
 	dropBefore(offset: number): void {
-		this.#records = this.#records.slice(Math.max(0, offset - this.#first));
-		this.#first = Math.max(this.#first, offset);
+		this.#records = this.#records.slice(Math.max(0, offset - this.#firstOffset));
+		this.#firstOffset = Math.max(this.#firstOffset, offset);
 	}
 
-	#take(record: Uint8Array): void {
+	#appendRecord(record: Uint8Array): void {
 		if (this.isKeyed) {
 			const valueAt = 1 + record[0]!;
 			const key = Buffer.from(record.subarray(1, valueAt)).toString();
 			const value = record.subarray(valueAt);
 			if (value.length === 0) {
-				this.#newest.delete(key);
+				this.#latest.delete(key);
 			} else {
-				this.#newest.set(key, {value, offset: this.end});
+				this.#latest.set(key, {value, offset: this.endOffset});
 			}
 		}
 
--- a/standins/target/behaviour.ts
+++ b/standins/target/behaviour.ts
@@ -1,12 +1,15 @@
-/** How a target's stand-in answers. */
+/** Behaviour of a target's stand-in. */
 import {z} from 'zod';
 
 /**
- * `silent` takes requests and never answers; `crossed` answers with another task's id; `half` ends its answer in the
- * middle; `refusing` says truly that it runs nothing.
+ * - `failing`: every task fails at once
+ * - `silent`: accepts requests and never responds
+ * - `crossed`: responds with the id of another task
+ * - `half`: disconnects in the middle of the response
+ * - `refusing`: refuses every task
  */
 export const behaviourSchema = z.strictObject({
 	mode: z.enum(['normal', 'failing', 'silent', 'crossed', 'half', 'refusing']).default('normal'),
-	/** Tasks take so many times as long. */
+	/** Factor by which tasks take longer. */
 	slowness: z.number().min(0.01).default(1),
 });
--- a/standins/target/main.ts
+++ b/standins/target/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Targets' stand-ins as a program: one process may play many targets, each on its own port. */
+/** Command line program of the targets' stand-in: serves one or more targets, each on its own port. */
 import process from 'node:process';
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
@@ -15,10 +15,10 @@
 	.strict()
 	.parseSync();
 
-const begun = new Set<string>();
+const startedTasks = new Set<string>();
 const ports: number[] = [];
 for (let index = 0; index < options.count; index++) {
-	const target = new TargetServer(options.slots, options.connections, begun);
+	const target = new TargetServer(options.slots, options.connections, startedTasks);
 	ports.push(await target.listen('127.0.0.1', 0));
 }
 
--- a/standins/target/target-counters.ts
+++ b/standins/target/target-counters.ts
@@ -1,24 +1,24 @@
-/** What a target's stand-in knows for certain. */
+/** Counters of a target's stand-in. */
 
-/** Counted at the target itself, whatever anybody else believes. */
+/** Ground truth, counted at the target itself. */
 export type TargetCounters = {
-	/** Tasks that were begun, each begin counted. */
+	/** Task starts. */
 	starts: number;
-	/** Begins of a task that had been begun before on any target of the same process. */
+	/** Starts of a task that was started before on any target of the same process. */
 	doubleStarts: number;
 	finished: number;
 	failed: number;
-	/** Requests that came while all slots were taken, and were refused. */
+	/** Requests refused because all slots were in use. */
 	overSlots: number;
 	/** Connections beyond the limit. */
 	overConnections: number;
 	refused: number;
 	stopped: number;
 	stopsAsked: number;
-	/** Answers whose connection was gone when they were ready. */
+	/** Results whose connection was already closed. */
 	unwanted: number;
 	usageAsked: number;
-	/** The most slots that were taken at once. */
+	/** Maximum number of slots in use at once. */
 	peakSlots: number;
 	peakConnections: number;
 	busyMilliseconds: number;
--- a/standins/target/target-server.ts
+++ b/standins/target/target-server.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a target: it runs tasks by waiting, enforces its limits and counts the truth. */
+/** A stand-in for a target: simulates tasks by timers, enforces its limits and counts events. */
 import {Buffer} from 'node:buffer';
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
@@ -15,7 +15,7 @@
 
 const defaultRunMilliseconds = 50;
 
-/** Listens on a port of the system's choice. */
+/** HTTP server of one target. */
 export class TargetServer {
 	readonly counters: TargetCounters = {
 		starts: 0, doubleStarts: 0, finished: 0, failed: 0, overSlots: 0, overConnections: 0, refused: 0, stopped: 0,
@@ -27,8 +27,8 @@
 	#connections = 0;
 	#behaviour: Behaviour = behaviourSchema.parse({});
 
-	/** The begun tasks are shared by all targets of a process, so that a second start elsewhere is seen. */
-	constructor(private readonly slots: number, private readonly connections: number, private readonly begun: Set<string>) {
+	/** `startedTasks` is shared by all targets of a process, to detect a second start on another target. */
+	constructor(private readonly slots: number, private readonly connections: number, private readonly startedTasks: Set<string>) {
 		this.#server = createServer((request, response) => {
 			void this.#handle(request, response);
 		});
@@ -57,7 +57,7 @@
 		this.#behaviour = behaviourSchema.parse({...this.#behaviour, ...behaviour});
 	}
 
-	/** Dies as a process would: connections break, nothing more is answered. */
+	/** Simulates a crash: closes all connections and stops all tasks. */
 	kill(): void {
 		this.#server.close();
 		this.#server.closeAllConnections();
@@ -84,7 +84,7 @@
 				reply(response, 200, {...this.counters, busyMilliseconds: this.counters.busyMilliseconds + this.#runningMilliseconds()});
 			})
 			.with({url: '/begun'}, () => {
-				reply(response, 200, [...this.begun]);
+				reply(response, 200, [...this.startedTasks]);
 			})
 			.with({url: '/behaviour'}, () => {
 				this.setBehaviour(JSON.parse(body) as Partial<Behaviour>);
@@ -95,7 +95,7 @@
 			});
 	}
 
-	/** What the running tasks have taken so far. */
+	/** Total time of the running tasks so far. */
 	#runningMilliseconds(): number {
 		const now = performance.now();
 		return [...this.#running.values()].reduce((sum, {startedAt}) => sum + now - startedAt, 0);
@@ -111,14 +111,14 @@
 			return;
 		}
 
-		this.#begin(taskId);
+		this.#recordStart(taskId);
 		const isFailing = payload.fails === true || this.#behaviour.mode === 'failing';
-		// A failing target answers fast, which is what makes it draw load.
-		const wanted = this.#behaviour.mode === 'failing' ? 1 : (payload.runMilliseconds ?? defaultRunMilliseconds) * this.#behaviour.slowness;
+		// A failing target responds fast, which attracts more load.
+		const durationMilliseconds = this.#behaviour.mode === 'failing' ? 1 : (payload.runMilliseconds ?? defaultRunMilliseconds) * this.#behaviour.slowness;
 		const startedAt = performance.now();
 		const timer = setTimeout(() => {
 			end(false);
-		}, Math.min(wanted, limit));
+		}, Math.min(durationMilliseconds, limit));
 		const end = (isStopped: boolean) => {
 			clearTimeout(timer);
 			this.#running.delete(taskId);
@@ -130,16 +130,16 @@
 				return;
 			}
 
-			this.#answer(response, taskId, {isFailing: isFailing || wanted > limit, runMilliseconds, echo: payload.echo ?? taskId});
+			this.#answer(response, taskId, {isFailing: isFailing || durationMilliseconds > limit, runMilliseconds, echo: payload.echo ?? taskId});
 		};
 
 		this.#running.set(taskId, {startedAt, end});
 	}
 
-	#begin(taskId: string): void {
+	#recordStart(taskId: string): void {
 		this.counters.starts += 1;
-		this.counters.doubleStarts += this.begun.has(taskId) ? 1 : 0;
-		this.begun.add(taskId);
+		this.counters.doubleStarts += this.startedTasks.has(taskId) ? 1 : 0;
+		this.startedTasks.add(taskId);
 		this.counters.peakSlots = Math.max(this.counters.peakSlots, this.#running.size + 1);
 	}
 
--- a/standins/worker/crashing-payload.ts
+++ b/standins/worker/crashing-payload.ts
@@ -1,2 +1,2 @@
-/** What tells a worker's stand-in that a task takes it down. */
+/** Payload of a task that crashes the worker's stand-in. */
 export const crashingPayload = 'crashes its worker';
--- a/standins/worker/main.ts
+++ b/standins/worker/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Workers' stand-ins as a program: prints the ports of its workers, and its own. */
+/** Command line program of the workers' stand-in: prints the ports of its workers and its own. */
 import process from 'node:process';
 import {serve} from '@hono/node-server';
 import yargs from 'yargs';
--- a/standins/worker/run-event.ts
+++ b/standins/worker/run-event.ts
@@ -1,6 +1,6 @@
-/** What really happened on a worker's stand-in. */
+/** Events recorded by a worker's stand-in. */
 
-/** `worker` names one of a worker's lives. `at` is wall time in milliseconds; `how` is empty for a start. */
+/** The start or end of a run. `worker` names an incarnation, `at` is Unix time in milliseconds, `how` is empty for a start. */
 export type RunEvent = {
 	readonly at: number;
 	readonly worker: string;
--- a/standins/worker/worker-fault.ts
+++ b/standins/worker/worker-fault.ts
@@ -1,14 +1,19 @@
-/** What a worker's stand-in can do wrong. */
+/** Faults of a worker's stand-in. */
 import {z} from 'zod';
 
-/** Fields that are absent stay as they are. */
+/** Absent fields stay unchanged. */
 export const workerFaultSchema = z.strictObject({
 	/**
-	 * `silent` answers nothing; `losing` carries out and answers nothing; `late` carries out after `lateMilliseconds` and
-	 * answers nothing; `unhealthy` refuses; `failing` fails every run; `hanging` ends none; `garbled` answers nonsense.
+	 * - `silent`: ignores requests
+	 * - `losing`: executes requests without a response
+	 * - `late`: executes requests after `lateMilliseconds` without a response
+	 * - `unhealthy`: responds with 503
+	 * - `failing`: all runs fail
+	 * - `hanging`: runs never end
+	 * - `garbled`: responds with malformed JSON
 	 */
 	mode: z.enum(['normal', 'silent', 'losing', 'late', 'unhealthy', 'failing', 'hanging', 'garbled']).optional(),
 	lateMilliseconds: z.int().min(0).optional(),
-	/** Work takes so many times as long. */
+	/** Factor by which runs take longer. */
 	slowness: z.number().min(0.1).optional(),
 });
--- a/standins/worker/worker-host.ts
+++ b/standins/worker/worker-host.ts
@@ -1,4 +1,4 @@
-/** Several workers' stand-ins in one process, which register themselves in the store. */
+/** Hosts several workers' stand-ins in one process and registers them in the store. */
 import {serve} from '@hono/node-server';
 import {Hono} from 'hono';
 import {appendKeyedRecord} from '../append-keyed-record.js';
@@ -8,62 +8,62 @@
 const cpuCapacity = 64_000;
 const cpuOfTask = 27_000;
 const memoryMegabytes = 262_144;
-/** A worker that a task has crashed starts again after so long. */
-const downMilliseconds = 2000;
+/** Time until a worker that a task has crashed restarts. */
+const restartDelayMilliseconds = 2000;
 const heartbeatMilliseconds = 1500;
-/** An entry goes from the store after three heartbeats of silence. */
-const lapseMilliseconds = 3 * heartbeatMilliseconds;
-/** How long a draining worker goes on after the store has accepted its report. */
+/** Records expire after three missed heartbeats. */
+const expiryMilliseconds = 3 * heartbeatMilliseconds;
+/** Time until a draining worker is replaced. */
 const drainMilliseconds = 3000;
 const topic = 'keyed.servers';
 
-type Place = {service: WorkerService; life: number; sequence: number; state: 'ready' | 'draining'; address: string | undefined; readonly zone: string};
+type WorkerSlot = {service: WorkerService; replacementNumber: number; sequence: number; state: 'ready' | 'draining'; address: string | undefined; readonly zone: string};
 
-/** Keeps the truth of all its workers, so that runs of one task on two of them can be told. */
+/** Records the runs of all its workers, so that duplicate runs of a task can be detected. */
 export class WorkerHost {
 	readonly events: RunEvent[] = [];
-	readonly #places: Place[] = [];
+	readonly #slots: WorkerSlot[] = [];
 	readonly #timer: NodeJS.Timeout;
 
 	constructor(private readonly storeAddress: string, private readonly service: string) {
 		this.#timer = setInterval(() => {
-			for (const place of this.#places) {
-				void this.#register(place);
+			for (const slot of this.#slots) {
+				void this.#register(slot);
 			}
 		}, heartbeatMilliseconds);
 	}
 
-	/** Adds a worker and returns its port. It registers itself once it's told its address, which may be a relay's. */
+	/** Adds a worker and returns its port. It is registered once its address is set, which may be that of a proxy. */
 	async add(zone: string): Promise<number> {
-		const place: Place = {
-			service: this.#newLife(`i-${this.#places.length}-1`), life: 1, sequence: 0, state: 'ready', address: undefined, zone,
+		const slot: WorkerSlot = {
+			service: this.#createWorker(`i-${this.#slots.length}-1`), replacementNumber: 1, sequence: 0, state: 'ready', address: undefined, zone,
 		};
-		this.#places.push(place);
+		this.#slots.push(slot);
 		return new Promise(resolve => {
-			serve({fetch: async incoming => place.service.routes().fetch(incoming), hostname: '127.0.0.1', port: 0}, ({port}) => {
+			serve({fetch: async incoming => slot.service.routes().fetch(incoming), hostname: '127.0.0.1', port: 0}, ({port}) => {
 				resolve(port);
 			});
 		});
 	}
 
-	/** The host's own interface, for whoever breaks its workers and wants the truth. */
+	/** Control interface: injects faults and returns recorded runs. */
 	routes(): Hono {
 		const routes = new Hono();
 		routes.get('/truth', context => context.json(this.events.slice(Number(context.req.query('from') ?? 0))));
-		routes.get('/running', context => context.json(this.#places.flatMap(({service}) => service.running)));
+		routes.get('/running', context => context.json(this.#slots.flatMap(({service}) => service.running)));
 		routes.post('/workers/:index/address', async context => {
-			const place = this.#places[Number(context.req.param('index'))]!;
-			place.address = await context.req.text();
-			await this.#register(place);
+			const slot = this.#slots[Number(context.req.param('index'))]!;
+			slot.address = await context.req.text();
+			await this.#register(slot);
 			return context.json({});
 		});
 		routes.post('/workers/:index/crash', context => {
-			this.#restart(this.#places[Number(context.req.param('index'))]!);
+			this.#restart(this.#slots[Number(context.req.param('index'))]!);
 			return context.json({});
 		});
 		routes.post('/workers/:index/drain', async context => {
 			const index = Number(context.req.param('index'));
-			const {service} = this.#places[index]!;
+			const {service} = this.#slots[index]!;
 			return context.json({worker: service.incarnationName, acceptedAt: await this.#drain(index) ? Date.now() : null});
 		});
 		return routes;
@@ -73,85 +73,85 @@
 		clearInterval(this.#timer);
 	}
 
-	#newLife(id: string): WorkerService {
-		const life: WorkerService = new WorkerService(id, cpuCapacity, cpuOfTask, event => {
+	#createWorker(id: string): WorkerService {
+		const worker: WorkerService = new WorkerService(id, cpuCapacity, cpuOfTask, event => {
 			this.events.push(event);
 		}, () => {
-			this.#goDown(life);
+			this.#handleCrash(worker);
 		});
-		return life;
+		return worker;
 	}
 
-	/** A task has crashed the worker: nothing answers there until it starts again under its id. */
-	#goDown(life: WorkerService): void {
-		life.crash();
+	/** Takes a crashed worker offline and restarts it later under the same id. */
+	#handleCrash(worker: WorkerService): void {
+		worker.crash();
 		setTimeout(() => {
-			const place = this.#places.find(({service}) => service === life);
-			if (place !== undefined) {
-				this.#restart(place);
+			const slot = this.#slots.find(({service}) => service === worker);
+			if (slot !== undefined) {
+				this.#restart(slot);
 			}
-		}, downMilliseconds);
+		}, restartDelayMilliseconds);
 	}
 
-	/** A new life under the same id, which knows nothing of before and counts anew. */
-	#restart(place: Place): void {
-		place.service.crash();
-		place.service = this.#newLife(place.service.id);
-		place.sequence = 0;
-		place.state = 'ready';
-		void this.#register(place);
+	/** Starts a new incarnation under the same id, without any state of the previous one. */
+	#restart(slot: WorkerSlot): void {
+		slot.service.crash();
+		slot.service = this.#createWorker(slot.service.id);
+		slot.sequence = 0;
+		slot.state = 'ready';
+		void this.#register(slot);
 	}
 
-	/** A new worker at the same address; the store forgets the former one after a while. */
+	/** Starts a new worker at the same address; the record of the previous one expires later. */
 	#replace(index: number): void {
-		const place = this.#places[index]!;
-		const former = place.service;
-		former.crash();
-		place.life += 1;
-		place.service = this.#newLife(`i-${index}-${place.life}`);
-		place.sequence = 0;
-		place.state = 'ready';
-		void this.#register(place);
+		const slot = this.#slots[index]!;
+		const previous = slot.service;
+		previous.crash();
+		slot.replacementNumber += 1;
+		slot.service = this.#createWorker(`i-${index}-${slot.replacementNumber}`);
+		slot.sequence = 0;
+		slot.state = 'ready';
+		void this.#register(slot);
 		setTimeout(() => {
-			void this.#write(former.id, '');
-		}, lapseMilliseconds);
+			void this.#write(previous.id, '');
+		}, expiryMilliseconds);
 	}
 
-	/** Reports that it leaves, and is replaced later; true once the store has accepted the report. */
+	/** Registers a worker as draining and replaces it later; true if the store confirmed the registration. */
 	async #drain(index: number): Promise<boolean> {
-		const place = this.#places[index]!;
-		const {service} = place;
-		place.state = 'draining';
-		const isAccepted = await this.#register(place);
+		const slot = this.#slots[index]!;
+		const {service} = slot;
+		slot.state = 'draining';
+		const isAccepted = await this.#register(slot);
 		setTimeout(() => {
-			if (place.service === service) {
+			if (slot.service === service) {
 				this.#replace(index);
 			}
 		}, drainMilliseconds);
 		return isAccepted;
 	}
 
-	async #register(place: Place): Promise<boolean> {
-		if (place.address === undefined) {
+	async #register(slot: WorkerSlot): Promise<boolean> {
+		if (slot.address === undefined) {
 			return false;
 		}
 
-		place.sequence += 1;
-		return this.#write(place.service.id, JSON.stringify({
+		slot.sequence += 1;
+		return this.#write(slot.service.id, JSON.stringify({
 			service: this.service,
-			addr: place.address,
-			zone: place.zone,
+			addr: slot.address,
+			zone: slot.zone,
 			version: '1',
 			slots: 8,
-			state: place.state,
-			born: place.service.incarnation,
-			seq: place.sequence,
+			state: slot.state,
+			born: slot.service.incarnation,
+			seq: slot.sequence,
 			capacity: {cpu: cpuCapacity, mem_mb: memoryMegabytes, gpu: 0},
 			labels: [],
 		}));
 	}
 
-	/** Where the store didn't accept, the next heartbeat registers the worker again. */
+	/** Failed writes are repeated by the next heartbeat. */
 	async #write(id: string, value: string): Promise<boolean> {
 		return appendKeyedRecord(this.storeAddress, {topic, key: id, value});
 	}
--- a/standins/worker/worker-service.ts
+++ b/standins/worker/worker-service.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a worker: capacity, leases, fencing tokens and a list of ends. */
+/** A stand-in for a worker with capacity, leases, fencing tokens and a list of ended runs. */
 import {Hono, type Context} from 'hono';
 import {z} from 'zod';
 import {ConditionVariable} from '../condition-variable.js';
@@ -23,35 +23,34 @@
 type End = readonly [number: number, task: string, attempt: number, how: string, saved: string];
 
 /**
- * A task runs for as many milliseconds as its text says, on `cpuOfTask` of the capacity; one whose text is no number fails, and
- * one that crashes its worker is told to `onFatal`.
- * `note` is told what really ran, whatever the callers are told.
+ * Simulates runs: a payload is the duration in milliseconds, and any other text fails. Each run uses `cpuOfTask` of the
+ * capacity. `onEvent` receives each start and end, `onCrash` is called when a run crashes the worker.
  */
 export class WorkerService {
-	/** Every start that was carried out. */
+	/** All runs that were started. */
 	readonly starts: Array<{readonly task: string; readonly attempt: number}> = [];
 	readonly #runs = new Map<string, Run>();
-	readonly #barred = new Map<string, number>();
-	readonly #waiters = new ConditionVariable();
+	readonly #revokedAttempts = new Map<string, number>();
+	readonly #runEnded = new ConditionVariable();
 	#ended: End[] = [];
 	#endCount = 0;
 	#fence = 0;
-	#until = 0;
-	#lapse: NodeJS.Timeout | undefined;
+	#leaseUntil = 0;
+	#leaseTimer: NodeJS.Timeout | undefined;
 	#mode: NonNullable<z.output<typeof workerFaultSchema>['mode']> = 'normal';
 	#lateMilliseconds = 0;
 	#slowness = 1;
 	#isDown = false;
-	/** When this life began: an id may have several, one after the other. */
-	readonly #born = Date.now();
+	/** Start time in Unix milliseconds, which distinguishes incarnations of the same id. */
+	readonly #incarnation = Date.now();
 	readonly #startedAt = performance.now();
 
 	constructor(
 		readonly id: string,
 		private readonly cpuCapacity: number,
 		private readonly cpuOfTask: number,
-		private readonly note: (event: RunEvent) => void = () => undefined,
-		private readonly onFatal: () => void = () => undefined,
+		private readonly onEvent: (event: RunEvent) => void = () => undefined,
+		private readonly onCrash: () => void = () => undefined,
 	) {}
 
 	routes(): Hono {
@@ -60,9 +59,9 @@
 			this.injectFault(workerFaultSchema.parse(await context.req.json()));
 			return context.json({});
 		});
-		routes.post('/run-start', async context => this.#guard(context, body => this.#start(startSchema.parse(body))));
-		routes.post('/run-stop', async context => this.#guard(context, body => this.#stop(stopSchema.parse(body))));
-		routes.post('/hold', async context => this.#guard(context, async body => this.#hold(holdSchema.parse(body))));
+		routes.post('/run-start', async context => this.#handle(context, body => this.#start(startSchema.parse(body))));
+		routes.post('/run-stop', async context => this.#handle(context, body => this.#stop(stopSchema.parse(body))));
+		routes.post('/hold', async context => this.#handle(context, async body => this.#hold(holdSchema.parse(body))));
 		return routes;
 	}
 
@@ -72,22 +71,22 @@
 		this.#slowness = fault.slowness ?? this.#slowness;
 	}
 
-	/** Loses everything that runs, as a machine does that goes down; what it was asked gets no answer any more. */
+	/** Ends all runs and stops responding, like a machine that fails. */
 	crash(): void {
 		this.#isDown = true;
-		clearTimeout(this.#lapse);
+		clearTimeout(this.#leaseTimer);
 		for (const task of this.#runs.keys()) {
 			this.#end(task, 'crashed');
 		}
 	}
 
-	/** Names this life among those of the same id. */
+	/** Unique name of this incarnation. */
 	get incarnationName(): string {
-		return `${this.id}@${this.#born}`;
+		return `${this.id}@${this.#incarnation}`;
 	}
 
 	get incarnation(): number {
-		return this.#born;
+		return this.#incarnation;
 	}
 
 	get running(): readonly string[] {
@@ -98,14 +97,14 @@
 		return Math.floor(performance.now() - this.#startedAt);
 	}
 
-	async #guard(context: Context, action: (body: unknown) => Response | Promise<Response>): Promise<Response> {
+	async #handle(context: Context, action: (body: unknown) => Response | Promise<Response>): Promise<Response> {
 		const intended = context.req.header('expect-instance');
 		if (intended !== undefined && intended !== this.id) {
 			return context.json({}, 421);
 		}
 
 		if (this.#isDown) {
-			return never();
+			return neverReply();
 		}
 
 		const body = await context.req.json<unknown>();
@@ -119,19 +118,19 @@
 			}
 
 			case 'silent': {
-				return never();
+				return neverReply();
 			}
 
 			case 'losing': {
 				await action(body);
-				return never();
+				return neverReply();
 			}
 
 			case 'late': {
 				setTimeout(() => {
 					void action(body);
 				}, this.#lateMilliseconds);
-				return never();
+				return neverReply();
 			}
 
 			case 'normal':
@@ -143,7 +142,7 @@
 	}
 
 	#start({task, attempt, spec, until_ms: until, fence_token: fence}: z.output<typeof startSchema>): Response {
-		if (!this.#passes(fence)) {
+		if (!this.#acceptsFence(fence)) {
 			return this.#reject('fence');
 		}
 
@@ -156,7 +155,7 @@
 		}
 
 		this.#renew(until);
-		if ((this.#barred.get(task) ?? 0) >= attempt) {
+		if ((this.#revokedAttempts.get(task) ?? 0) >= attempt) {
 			return this.#reject('old');
 		}
 
@@ -173,28 +172,28 @@
 		const milliseconds = Number(payload);
 		const isDone = this.#mode !== 'failing' && !Number.isNaN(milliseconds);
 		const timer = payload === crashingPayload
-			? setTimeout(this.onFatal, crashMilliseconds)
+			? setTimeout(this.onCrash, crashMilliseconds)
 			: setTimeout(() => {
 				this.#end(task, isDone ? 'done' : 'failed');
 			}, this.#mode === 'hanging' ? 2 ** 30 : (milliseconds || 0) * this.#slowness);
 		this.#runs.set(task, {
 			task, attempt, payload, timer,
 		});
-		this.#note('start', '', {task, attempt, payload});
+		this.#emit('start', '', {task, attempt, payload});
 	}
 
-	#note(kind: RunEvent['kind'], how: string, {task, attempt, payload}: Omit<Run, 'timer'>): void {
-		this.note({
+	#emit(kind: RunEvent['kind'], how: string, {task, attempt, payload}: Omit<Run, 'timer'>): void {
+		this.onEvent({
 			at: Date.now(), worker: this.incarnationName, kind, how, task, attempt, payload,
 		});
 	}
 
 	#stop({task, attempt, fence_token: fence}: z.output<typeof stopSchema>): Response {
-		if (!this.#passes(fence)) {
+		if (!this.#acceptsFence(fence)) {
 			return this.#reject('fence');
 		}
 
-		this.#barred.set(task, Math.max(attempt, this.#barred.get(task) ?? 0));
+		this.#revokedAttempts.set(task, Math.max(attempt, this.#revokedAttempts.get(task) ?? 0));
 		if (this.#runs.get(task)?.attempt === attempt) {
 			setTimeout(() => {
 				this.#end(task, 'stopped');
@@ -205,7 +204,7 @@
 	}
 
 	async #hold({fence_token: fence, last_seen: lastSeen, until_ms: until, wait_ms: wait}: z.output<typeof holdSchema>): Promise<Response> {
-		if (!this.#passes(fence)) {
+		if (!this.#acceptsFence(fence)) {
 			return this.#reject('fence');
 		}
 
@@ -216,35 +215,35 @@
 
 		await this.#waitForEnd(lastSeen, wait);
 		if (this.#isDown) {
-			return never();
+			return neverReply();
 		}
 
-		return this.#reply({born: this.#born, num_running: [...this.#runs.values()].map(({task, attempt}) => [task, attempt, '', 100, this.cpuOfTask]), ended: this.#ended});
+		return this.#reply({born: this.#incarnation, num_running: [...this.#runs.values()].map(({task, attempt}) => [task, attempt, '', 100, this.cpuOfTask]), ended: this.#ended});
 	}
 
-	/** Only an end with a higher number than the one that the caller has seen ends the wait early. */
+	/** Waits until there is an ended run with a number above `lastSeen`, or until the timeout. */
 	async #waitForEnd(lastSeen: number, milliseconds: number): Promise<void> {
 		const until = performance.now() + milliseconds;
 		for (let left = milliseconds; left > 0 && !this.#ended.some(([number]) => number > lastSeen); left = until - performance.now()) {
-			await this.#waiters.wait(left);
+			await this.#runEnded.wait(left);
 		}
 	}
 
-	#passes(fence: number): boolean {
+	#acceptsFence(fence: number): boolean {
 		this.#fence = Math.max(this.#fence, fence);
 		return fence === this.#fence;
 	}
 
-	/** Never shortens. */
+	/** Extends the lease, never shortens it. */
 	#renew(until: number): void {
 		const clock = this.#clock;
-		this.#until = Math.max(this.#until, Math.min(until, clock + longestLeaseMilliseconds));
-		clearTimeout(this.#lapse);
-		this.#lapse = setTimeout(() => {
+		this.#leaseUntil = Math.max(this.#leaseUntil, Math.min(until, clock + longestLeaseMilliseconds));
+		clearTimeout(this.#leaseTimer);
+		this.#leaseTimer = setTimeout(() => {
 			for (const task of this.#runs.keys()) {
 				this.#end(task, 'lapsed');
 			}
-		}, this.#until - clock);
+		}, this.#leaseUntil - clock);
 	}
 
 	#end(task: string, how: string): void {
@@ -255,11 +254,11 @@
 
 		clearTimeout(run.timer);
 		this.#runs.delete(task);
-		this.#barred.set(task, Math.max(run.attempt, this.#barred.get(task) ?? 0));
+		this.#revokedAttempts.set(task, Math.max(run.attempt, this.#revokedAttempts.get(task) ?? 0));
 		this.#endCount += 1;
 		this.#ended.push([this.#endCount, task, run.attempt, how, '']);
-		this.#note('end', how, run);
-		this.#waiters.notifyAll();
+		this.#emit('end', how, run);
+		this.#runEnded.notifyAll();
 	}
 
 	#reply(body: Readonly<Record<string, unknown>>): Response {
@@ -271,8 +270,8 @@
 	}
 }
 
-async function never(): Promise<Response> {
+async function neverReply(): Promise<Response> {
 	return new Promise(() => {
-		// The answer is lost.
+		// Simulates a lost response.
 	});
 }
